--- a/src/jsonlines/message.cpp
+++ b/src/jsonlines/message.cpp
@@ -19,14 +19,14 @@
 
 } // namespace
 
-const std::string *Message::find(std::string_view name) const {
+const std::string *Message::find_option(std::string_view name) const {
   auto it = std::ranges::find(opts, name, &std::pair<std::string, std::string>::first);
   return it == opts.end() ? nullptr : &it->second;
 }
 
-std::optional<Message> read(std::string_view line, Fault &fault) {
+std::optional<Message> parse_message(std::string_view line, ParseError &fault) {
   auto bad = [&](std::string why) {
-    fault.why = std::move(why);
+    fault.reason = std::move(why);
     return std::nullopt;
   };
   Json json = Json::parse(line, nullptr, false);
@@ -63,7 +63,7 @@
   return out;
 }
 
-std::string write_answer(std::uint64_t tag, std::string_view description) {
+std::string write_started(std::uint64_t tag, std::string_view description) {
   return head("STARTED", tag) + R"(},"blob":)" + quoted(description) + "}\n";
 }
 
--- a/src/jsonlines/message.h
+++ b/src/jsonlines/message.h
@@ -12,7 +12,7 @@
 
 namespace snowshore::jsonlines {
 
-inline constexpr std::size_t kMaxLine = 16 * 1024; // the protocol's bound on a message
+inline constexpr std::size_t kMaxLineBytes = 16 * 1024; // the protocol's bound on a message
 
 using given::read_hex16;
 using given::write_hex16;
@@ -23,19 +23,19 @@
   std::vector<std::pair<std::string, std::string>> opts; // numbers as they were written
   std::optional<double> cause;
   std::optional<std::string> description;
-  const std::string *find(std::string_view name) const;
+  const std::string *find_option(std::string_view name) const;
 };
 
 // What is wrong with a line, and under which tag where one could be read.
-struct Fault {
-  std::string why;
+struct ParseError {
+  std::string reason;
   std::optional<std::uint64_t> tag;
 };
 
-std::optional<Message> read(std::string_view line, Fault &fault);
+std::optional<Message> parse_message(std::string_view line, ParseError &fault);
 
 // One line with its end. opts: numbers, none below 0 is written.
-std::string write_answer(std::uint64_t tag, std::string_view description);
+std::string write_started(std::uint64_t tag, std::string_view description);
 std::string write_finish(std::uint64_t tag, int cause, std::optional<std::uint64_t> wait_ms = std::nullopt);
 std::string write_finished(std::uint64_t tag);
 std::string write_echoed(std::uint64_t tag, bool passed);
@@ -46,10 +46,10 @@
  public:
   // Calls on_line for each whole line, without its end, until told to stop by a false; false where the bound
   // is broken.
-  template <class F> bool take(std::string_view bytes, F on_line) {
+  template <class F> bool feed(std::string_view bytes, F on_line) {
     while (!bytes.empty()) {
       std::size_t end = bytes.find('\n');
-      if (partial_.size() + std::min(end, bytes.size()) > kMaxLine) return false;
+      if (partial_.size() + std::min(end, bytes.size()) > kMaxLineBytes) return false;
       if (end == std::string_view::npos) {
         partial_.append(bytes);
         return true;
@@ -68,7 +68,7 @@
     }
     return true;
   }
-  bool partial() const { return !partial_.empty(); }
+  bool has_partial_line() const { return !partial_.empty(); }
 
  private:
   std::string partial_;
--- a/src/jsonlines/server.cpp
+++ b/src/jsonlines/server.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 struct Server::Connection {
-  Id id = 0;
+  ConnectionId id = 0;
   asio::ip::tcp::socket socket;
   State state = State::silent;
   LineReader lines;
@@ -67,22 +67,22 @@
   accept_waiting();
 }
 
-bool Server::is_quiet() {
+bool Server::is_drained() {
   return !acceptor_.is_open() && std::ranges::none_of(all_, [](const auto &entry) {
     Connection &one = *entry.second;
     return unread(one) || !one.unsent.empty() || !one.sending.empty() ||
-           (one.state != State::closing && one.lines.partial());
+           (one.state != State::closing && one.lines.has_partial_line());
   });
 }
 
-std::size_t Server::unsent() const {
+std::size_t Server::unsent_bytes() const {
   std::size_t sum = 0;
   for (const auto &[id, one] : all_) sum += one->unsent.size() + one->sending.size();
   return sum;
 }
 
 // A socket closed with bytes unread is reset, which may take an answer with it that the viewer has not read.
-void Server::finish() {
+void Server::finish_sending() {
   asio::error_code ignored;
   for (auto &[id, one] : all_) {
     become(*one, State::closing);
@@ -167,7 +167,8 @@
   for (auto &[id, one] : all_) {
     bool unsent = !one->unsent.empty() || !one->sending.empty();
     newcomers = newcomers || one->state == State::silent;
-    if (one->held > 0 || one->heard_at > now - (unsent ? limits_.first_line : kSettled) || unread(*one))
+    if (one->held > 0 || one->heard_at > now - (unsent ? limits_.first_line_timeout : kSettled) ||
+        unread(*one))
       continue;
     if (!least || std::pair(one->vouched, one->heard_at) < std::pair(least->vouched, least->heard_at))
       least = one.get();
@@ -194,15 +195,15 @@
 
 void Server::turn(const std::shared_ptr<Connection> &one, std::string_view bytes) {
   if (one->state == State::closing) return read(one); // what it still says is not read any more
-  std::size_t left = limits_.lines_a_turn, used = 0;
-  bool read_all = one->lines.take(bytes, [&](std::string_view line) {
+  std::size_t left = limits_.lines_per_turn, used = 0;
+  bool read_all = one->lines.feed(bytes, [&](std::string_view line) {
     // line may lie in the reader, not in bytes: what is used is counted from the bytes' line ends
     used = bytes.find('\n', used) + 1;
-    ++counters_.lines;
+    ++counters_.lines_received;
     one->heard_at = steady_now();
     if (one->state == State::silent) become(*one, State::talking);
     one->waits_since = -1;
-    events_.line(one->id, line);
+    events_.on_line(one->id, line);
     return one->state == State::talking && --left > 0;
   });
   if (one->state == State::closed) return;
@@ -220,20 +221,20 @@
     });
     return;
   }
-  if (one->waits_since < 0 && one->lines.partial()) one->waits_since = steady_now();
+  if (one->waits_since < 0 && one->lines.has_partial_line()) one->waits_since = steady_now();
   read(one);
 }
 
-bool Server::send(Id id, std::string line) {
+bool Server::send(ConnectionId id, std::string line) {
   auto it = all_.find(id);
   if (it == all_.end()) return false;
   auto one = it->second;
-  ++counters_.sent;
+  ++counters_.lines_sent;
   one->unsent += line;
   if (one->unsent.size() + one->sending.size() > limits_.unsent_bytes) {
     ++counters_.unread_cut;
     asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
-      if (!alive.expired()) cut(id);
+      if (!alive.expired()) close_now(id);
     });
     return false;
   }
@@ -253,38 +254,38 @@
                     });
 }
 
-void Server::hold(Id id, int by) {
+void Server::add_open_requests(ConnectionId id, int by) {
   auto it = all_.find(id);
   if (it == all_.end()) return;
   it->second->held += by;
-  if (it->second->closes && it->second->held == 0) close_when_idle(id);
+  if (it->second->closes && it->second->held == 0) close_after_open_requests(id);
 }
 
 // Posted: the answer to the last request may come right after it was let go.
-void Server::close_when_idle(Id id) {
+void Server::close_after_open_requests(ConnectionId id) {
   auto it = all_.find(id);
   if (it == all_.end()) return;
   it->second->closes = true;
   asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired() && held(id) == 0) close_when_sent(id);
+    if (!alive.expired() && open_requests(id) == 0) close_after_sending(id);
   });
 }
 
-bool Server::closes(Id id) const {
+bool Server::is_closing(ConnectionId id) const {
   auto it = all_.find(id);
   return it != all_.end() && (it->second->closes || it->second->state == State::closing);
 }
 
-int Server::held(Id id) const {
+int Server::open_requests(ConnectionId id) const {
   auto it = all_.find(id);
   return it == all_.end() ? 0 : it->second->held;
 }
 
-void Server::vouch(Id id) {
+void Server::mark_trusted(ConnectionId id) {
   if (auto it = all_.find(id); it != all_.end()) it->second->vouched = true, vouched_ = id;
 }
 
-std::optional<Server::Id> Server::any_vouched() const {
+std::optional<Server::ConnectionId> Server::latest_trusted() const {
   if (all_.contains(vouched_)) return vouched_;
   const Connection *best = nullptr;
   for (const auto &[id, one] : all_) {
@@ -294,30 +295,30 @@
   return best ? std::optional(best->id) : std::nullopt;
 }
 
-bool Server::vouched(Id id) const {
+bool Server::is_trusted(ConnectionId id) const {
   auto it = all_.find(id);
   return it != all_.end() && it->second->vouched;
 }
 
-void Server::close_when_sent(Id id) {
+void Server::close_after_sending(ConnectionId id) {
   auto it = all_.find(id);
   if (it == all_.end() || it->second->state == State::closed) return;
   auto one = it->second;
   become(*one, State::closing);
   one->waits_since = steady_now();
-  if (one->sending.empty()) cut_soon(id);
+  if (one->sending.empty()) close_after_turn(id);
 }
 
-void Server::cut_soon(Id id) {
+void Server::close_after_turn(ConnectionId id) {
   auto it = all_.find(id);
   if (it == all_.end()) return;
   become(*it->second, State::closing);
   asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) cut(id);
+    if (!alive.expired()) close_now(id);
   });
 }
 
-void Server::cut(Id id) {
+void Server::close_now(ConnectionId id) {
   if (auto it = all_.find(id); it != all_.end()) end(*it->second, "cut");
 }
 
@@ -326,9 +327,9 @@
   become(one, State::closed);
   asio::error_code ignored;
   one.socket.close(ignored);
-  Id id = one.id;
+  ConnectionId id = one.id;
   auto kept = all_.extract(id);
-  events_.closed(id, why);
+  events_.on_closed(id, why);
 }
 
 // Who connects and says nothing whole in time, or half a line, is closed; who stands idle after that is not.
@@ -336,15 +337,15 @@
   look_timer_.expires_after(kLookEvery);
   look_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
-    double due = steady_now() - limits_.first_line;
-    std::vector<Id> silent;
+    double due = steady_now() - limits_.first_line_timeout;
+    std::vector<ConnectionId> silent;
     for (auto &[id, one] : all_) {
       if (one->waits_since >= 0 && one->waits_since < due && one->held == 0 && !unread(*one))
         silent.push_back(id); // what is unread was said while the front stood still
     }
-    for (Id id : silent) {
+    for (ConnectionId id : silent) {
       ++counters_.silent_cut;
-      cut(id);
+      close_now(id);
     }
     look();
   });
--- a/src/jsonlines/server.h
+++ b/src/jsonlines/server.h
@@ -17,50 +17,53 @@
 struct Limits {
   std::size_t connections = 64;
   std::size_t unsent_bytes = 256 * 1024; // a viewer that does not read what it is sent is cut
-  std::size_t lines_a_turn = 16;         // then other connections have theirs
-  double first_line = 2; // seconds to say something whole, from connecting or from its first byte; and to
-                         // read what it was sent, where room is wanted
+  std::size_t lines_per_turn = 16;       // then other connections have theirs
+  double first_line_timeout = 2; // seconds to say something whole, from connecting or from its first byte;
+                                 // and to read what it was sent, where room is wanted
 };
 
 struct Counters {
   std::uint64_t accepted = 0, silent_cut = 0, room_cut = 0, unread_cut = 0, overlong = 0, accept_faults = 0,
-                accept_pauses = 0, lines = 0, sent = 0;
+                accept_pauses = 0, lines_received = 0, lines_sent = 0;
 };
 
 class Server {
  public:
-  using Id = std::uint64_t; // never given again
+  using ConnectionId = std::uint64_t; // never given again
   struct Events {
-    std::function<void(Id, std::string_view line)> line;
-    std::function<void(Id, const char *why)> closed; // whoever closed it, once
+    std::function<void(ConnectionId, std::string_view line)> on_line;
+    std::function<void(ConnectionId, const char *why)> on_closed; // whoever closed it, once
   };
   // Listens at once; throws std::system_error.
   Server(asio::io_context &io, const asio::ip::tcp::endpoint &at, Limits limits, Events events);
   ~Server();
-  asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
   std::size_t connections() const { return all_.size(); }
   const Counters &counters() const { return counters_; }
-  void change(const Limits &limits) { limits_ = limits; } // those over them go as others come
+  void set_limits(const Limits &limits) { limits_ = limits; } // those over them go as others come
 
-  bool send(Id id, std::string line); // false: there is no such connection any more
-  void hold(Id id, int by); // so many requests are open on it (added): it is not closed to make room
-  int held(Id id) const;
-  void vouch(Id id); // a play stands by it: it may be told of plays that other connections brought
-  bool vouched(Id id) const;
-  std::optional<Id> any_vouched() const; // the one that was vouched for last
-  void close_when_sent(Id id);           // reads nothing more
-  void close_when_idle(Id id); // once no request is open on it and all is sent; it is read until then
-  bool closes(Id id) const;    // nothing new is to be taken from it
-  void cut(Id id);             // at once; closed comes during the call
-  void cut_soon(Id id);        // after this turn; nothing more is read
+  bool send(ConnectionId id, std::string line); // false: there is no such connection any more
+  void add_open_requests(ConnectionId id,
+                         int by); // so many requests are open on it (added): it is not closed to make room
+  int open_requests(ConnectionId id) const;
+  void mark_trusted(
+      ConnectionId id); // a play stands by it: it may be told of plays that other connections brought
+  bool is_trusted(ConnectionId id) const;
+  std::optional<ConnectionId> latest_trusted() const; // the one that was vouched for last
+  void close_after_sending(ConnectionId id);          // reads nothing more
+  void close_after_open_requests(
+      ConnectionId id); // once no request is open on it and all is sent; it is read until then
+  bool is_closing(ConnectionId id) const; // nothing new is to be taken from it
+  void close_now(ConnectionId id);        // at once; closed comes during the call
+  void close_after_turn(ConnectionId id); // after this turn; nothing more is read
   // The planned end, in this order: stop_accepting() takes what the system has accepted already, then closes
   // the listener; is_quiet() once that is done and no connection has anything unread, half read or unsent;
   // finish() ends what is sent on each and passes over what still comes, until stop().
   void stop_accepting();
-  bool listens() const { return acceptor_.is_open(); }
-  bool is_quiet();
-  std::size_t unsent() const; // bytes, over all connections
-  void finish();
+  bool is_listening() const { return acceptor_.is_open(); }
+  bool is_drained();
+  std::size_t unsent_bytes() const; // bytes, over all connections
+  void finish_sending();
   void stop();
 
  private:
@@ -86,8 +89,8 @@
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer accept_timer_, look_timer_;
   std::array<char, 32 * 1024> buffer_; // shared: emptied before the next read
-  std::unordered_map<Id, std::shared_ptr<Connection>> all_;
-  Id next_ = 1, vouched_ = 0;
+  std::unordered_map<ConnectionId, std::shared_ptr<Connection>> all_;
+  ConnectionId next_ = 1, vouched_ = 0;
   bool accepting_ = true, last_accepts_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -170,7 +170,7 @@
            {"overlong", l.overlong},
            {"accept_faults", l.accept_faults},
            {"accept_pauses", l.accept_pauses},
-           {"lines", l.lines}}},
+           {"lines", l.lines_received}}},
          {"servers",
           {{"listed", servers_.listed()},
            {"with_sessions", core_.plays().servers_with_plays().size()},
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -42,12 +42,12 @@
   return limits;
 }
 
-void Viewers::reload() { server_->change(limits()); }
+void Viewers::reload() { server_->set_limits(limits()); }
 
 void Viewers::listen() {
   jsonlines::Server::Events events;
-  events.line = [this](Connection from, std::string_view line) { on_line(from, line); };
-  events.closed = [this](Connection which, const char *why) { on_closed(which, why); };
+  events.on_line = [this](Connection from, std::string_view line) { on_line(from, line); };
+  events.on_closed = [this](Connection which, const char *why) { on_closed(which, why); };
   server_ = std::make_unique<jsonlines::Server>(io_, boot_.listen, limits(), std::move(events));
 }
 
@@ -59,12 +59,12 @@
 void Viewers::on_line(Connection from, std::string_view line) {
   if (log_.writes(telemetry::Level::debug))
     log_.debug("viewer_line", {{"from", from}, {"line", std::string(line.substr(0, 400))}});
-  jsonlines::Fault fault;
-  auto message = jsonlines::read(line, fault);
+  jsonlines::ParseError fault;
+  auto message = jsonlines::parse_message(line, fault);
   if (!message) {
     ++counters_.unreadable;
-    if (fault.tag && core_->plays().find(*fault.tag) < 0) return refuse(from, *fault.tag, fault.why);
-    return bad(from, fault.why);
+    if (fault.tag && core_->plays().find(*fault.tag) < 0) return refuse(from, *fault.tag, fault.reason);
+    return bad(from, fault.reason);
   }
   const std::string &verb = message->verb;
   if (verb == "START") return start(from, *message);
@@ -88,7 +88,7 @@
     return std::nullopt;
   };
   auto text = [&](const char *name) {
-    return message.find(name) ? std::string_view(*message.find(name)) : "";
+    return message.find_option(name) ? std::string_view(*message.find_option(name)) : "";
   };
   PlayTerms terms;
   auto product = std::ranges::find(boot_.core.products, text("class"), &edge::CoreProduct::name);
@@ -113,14 +113,14 @@
   terms.again = extra(extras, "again") == "1";
   terms.moved = extra(extras, "moved") == "1";
   if (!message.description) return bad_term("blob: a description is due");
-  if (message.description->size() + kSetUpHead > jsonlines::kMaxLine)
+  if (message.description->size() + kSetUpHead > jsonlines::kMaxLineBytes)
     return bad_term("blob: too long for a server");
   return terms;
 }
 
 void Viewers::start(Connection from, const jsonlines::Message &message) {
   std::string_view at; // it stands there already
-  if (const std::string *extras = message.find("extras")) at = extra(*extras, "at");
+  if (const std::string *extras = message.find_option("extras")) at = extra(*extras, "at");
   std::string why;
   auto terms = terms_of(message, !at.empty(), why);
   int held = core_->plays().find(message.tag);
@@ -129,15 +129,15 @@
     // Sent once more on a new connection after its own broke: the answer goes there. Else it is another's id.
     AtDoor &door = at_door(held);
     bool same = terms && door.open && door.connection != from && door.description == *message.description &&
-                core_->title_of(held) == *message.find("key");
+                core_->title_of(held) == *message.find_option("key");
     if (!same) return bad(from, "tag: a play in hand has it");
     ++counters_.moved_over;
-    server_->hold(door.connection, -1);
+    server_->add_open_requests(door.connection, -1);
     door.connection = from;
-    return server_->hold(from, 1);
+    return server_->add_open_requests(from, 1);
   }
   if (!terms) return refuse(from, message.tag, why);
-  const std::string &title = *message.find("key");
+  const std::string &title = *message.find_option("key");
   if (!at.empty()) {
     ++counters_.handed_over;
     auto ref = core_->hand_over(message.tag, title, std::string(at), *terms);
@@ -147,10 +147,10 @@
       return;
     }
     at_door(ref->index) = {from, {}, false};
-    server_->vouch(from);
+    server_->mark_trusted(from);
     return;
   }
-  if (shut_ || server_->closes(from) || !core_->has_list() ||
+  if (shut_ || server_->is_closing(from) || !core_->has_list() ||
       held_bytes_ + message.description->size() > boot_.shares.held_bytes) {
     ++counters_.no_room;
     server_->send(from, declined(message.tag, boot_.longest_retry_after));
@@ -160,7 +160,7 @@
   edge::PlayRef ref = core_->take(message.tag, title);
   at_door(ref.index) = {from, *message.description, true};
   held_bytes_ += message.description->size();
-  server_->hold(from, 1);
+  server_->add_open_requests(from, 1);
   core_->ask(ref.index, *terms);
   say_later();
 }
@@ -170,7 +170,7 @@
   if (held < 0) { // over already, or never heard of: heard, and a connection without anything good goes
     ++counters_.strangers;
     server_->send(from, jsonlines::write_finished(message.tag));
-    if (server_->held(from) == 0 && !server_->vouched(from)) server_->close_when_sent(from);
+    if (server_->open_requests(from) == 0 && !server_->is_trusted(from)) server_->close_after_sending(from);
     return;
   }
   AtDoor &door = at_door(held);
@@ -213,16 +213,17 @@
   ++counters_.refused_bad;
   if (log_.writes(telemetry::Level::debug)) log_.debug("bad_request", {{"cause", why}});
   server_->send(to, jsonlines::write_finish(tag, kCauseBadRequest));
-  if (server_->held(to) == 0 && !server_->vouched(to)) server_->close_when_sent(to);
+  if (server_->open_requests(to) == 0 && !server_->is_trusted(to)) server_->close_after_sending(to);
 }
 
 void Viewers::bad(Connection from, const std::string &why) {
   ++counters_.refused_bad;
   if (log_.writes(telemetry::Level::debug))
-    log_.debug("bad_viewer", {{"cause", why}, {"held", server_->held(from)}});
+    log_.debug("bad_viewer", {{"cause", why}, {"held", server_->open_requests(from)}});
   // One bad line does not cost the plays of a good connection their answers: it goes once they have them.
-  if (server_->vouched(from) && server_->held(from) > 0) return server_->close_when_idle(from);
-  server_->cut_soon(from);
+  if (server_->is_trusted(from) && server_->open_requests(from) > 0)
+    return server_->close_after_open_requests(from);
+  server_->close_after_turn(from);
 }
 
 // The one answer of a play.
@@ -233,13 +234,13 @@
   held_bytes_ -= door.description.size();
   door.description.clear();
   door.description.shrink_to_fit();
-  server_->hold(door.connection, -1);
+  server_->add_open_requests(door.connection, -1);
   if (!line.empty()) server_->send(door.connection, std::move(line));
 }
 
 void Viewers::answer(int play, const edge::SetUpResult &result) {
-  server_->vouch(at_door(play).connection);
-  settle(play, jsonlines::write_answer(tag(play), result.description));
+  server_->mark_trusted(at_door(play).connection);
+  settle(play, jsonlines::write_started(tag(play), result.description));
   say_later(); // it may be the first good connection again
 }
 
@@ -272,7 +273,7 @@
   double now = core_->clock().now();
   while (!said_.empty() && (said_.front().at < now - kMayBeUnheard || said_.size() >= kMostSaid))
     said_.pop_front();
-  auto other = server_->any_vouched();
+  auto other = server_->latest_trusted();
   for (auto on : {std::optional(to), other}) {
     if (!on || !server_->send(*on, line)) continue;
     said_.push_back({*on, tag, std::move(line), now});
@@ -285,7 +286,7 @@
 
 void Viewers::say_later() {
   while (!later_.empty()) {
-    auto to = server_->any_vouched();
+    auto to = server_->latest_trusted();
     if (!to) return;
     Later next = std::move(later_.front());
     later_.pop_front();
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -27,15 +27,15 @@
   void drain() { draining_ = true; } // tests fail from now on
   void shut();                       // nothing new is taken any more: it is declined at once
   // Nothing that came is unread, nothing said is unsent.
-  bool is_quiet() { return server_->is_quiet(); }
+  bool is_quiet() { return server_->is_drained(); }
   bool owes_ends() const { return !later_.empty(); } // of sessions, with no connection to say them on
-  void finish() { server_->finish(); }
-  bool listens() const { return server_->listens(); }
+  void finish() { server_->finish_sending(); }
+  bool listens() const { return server_->is_listening(); }
   void stop() { server_->stop(); }
   std::size_t connections() const { return server_->connections(); }
-  asio::ip::tcp::endpoint local() const { return server_->local(); }
+  asio::ip::tcp::endpoint local() const { return server_->local_endpoint(); }
   const Counters &counters() const { return counters_; }
-  std::size_t unsent() const { return server_->unsent(); }
+  std::size_t unsent() const { return server_->unsent_bytes(); }
   const jsonlines::Counters &line_counters() const { return server_->counters(); }
 
   // What the server's door needs of a play.
@@ -50,7 +50,7 @@
   void forget_play(int play) override;
 
  private:
-  using Connection = jsonlines::Server::Id;
+  using Connection = jsonlines::Server::ConnectionId;
   struct AtDoor {
     Connection connection = 0;
     std::string description; // until the answer
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -22,9 +22,9 @@
   jsonlines::LineReader reader;
   std::size_t sum = 0;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)}) {
-    if (!reader.take(part, [&](std::string_view line) {
-          jsonlines::Fault fault;
-          auto message = jsonlines::read(line, fault);
+    if (!reader.feed(part, [&](std::string_view line) {
+          jsonlines::ParseError fault;
+          auto message = jsonlines::parse_message(line, fault);
           sum = sum * 31 + line.size() + (message ? 1 : 0);
           return true;
         }))
--- a/tests/jsonlines/test_jsonlines.cpp
+++ b/tests/jsonlines/test_jsonlines.cpp
@@ -34,15 +34,15 @@
   };
   for (const Row &row : rows) {
     CAPTURE(row.name);
-    jsonlines::Fault fault;
-    auto message = jsonlines::read(row.line, fault);
+    jsonlines::ParseError fault;
+    auto message = jsonlines::parse_message(row.line, fault);
     CHECK(message.has_value() == row.readable);
     CHECK((message || fault.tag.has_value() == row.tagged));
-    CHECK((message || !fault.why.empty()));
+    CHECK((message || !fault.reason.empty()));
   }
   std::string deep(8000, '[');
-  jsonlines::Fault fault;
-  CHECK_FALSE(jsonlines::read(deep, fault));
+  jsonlines::ParseError fault;
+  CHECK_FALSE(jsonlines::parse_message(deep, fault));
 }
 
 TEST_CASE("lines are the same in any pieces; one over the bound ends the reader") {
@@ -51,30 +51,30 @@
     jsonlines::LineReader reader;
     std::vector<std::string> seen;
     for (std::size_t at = 0; at < bytes.size(); at += piece)
-      CHECK(reader.take(std::string_view(bytes).substr(at, piece), [&](std::string_view line) {
+      CHECK(reader.feed(std::string_view(bytes).substr(at, piece), [&](std::string_view line) {
         seen.emplace_back(line);
         return true;
       }));
     CHECK(seen == std::vector<std::string>{"one", "two", "", "three"});
-    CHECK(reader.partial());
+    CHECK(reader.has_partial_line());
   }
   jsonlines::LineReader reader;
   bool fine = true;
   for (int i = 0; i < 17 && fine; ++i)
-    fine = reader.take(std::string(1024, 'x'), [](std::string_view) { return true; });
+    fine = reader.feed(std::string(1024, 'x'), [](std::string_view) { return true; });
   CHECK_FALSE(fine);
 }
 
 TEST_CASE("what is said to viewers is one line each, whatever a description holds") {
-  for (const std::string &line : {jsonlines::write_answer(0x9b1f, "a\r\n\"b\"\n"),
+  for (const std::string &line : {jsonlines::write_started(0x9b1f, "a\r\n\"b\"\n"),
                                   jsonlines::write_finish(1, 34, 250), jsonlines::write_move(2)}) {
     CHECK(line.find('\n') == line.size() - 1);
-    jsonlines::Fault fault;
-    CHECK(jsonlines::read(std::string_view(line).substr(0, line.size() - 1), fault));
+    jsonlines::ParseError fault;
+    CHECK(jsonlines::parse_message(std::string_view(line).substr(0, line.size() - 1), fault));
   }
-  jsonlines::Fault fault;
-  std::string line = jsonlines::write_answer(0x9b1f, "a\r\n\"b\"\n");
-  CHECK(jsonlines::read(std::string_view(line).substr(0, line.size() - 1), fault)->description ==
+  jsonlines::ParseError fault;
+  std::string line = jsonlines::write_started(0x9b1f, "a\r\n\"b\"\n");
+  CHECK(jsonlines::parse_message(std::string_view(line).substr(0, line.size() - 1), fault)->description ==
         "a\r\n\"b\"\n");
 }
 
@@ -82,14 +82,14 @@
 
 struct Lines {
   asio::io_context io;
-  std::vector<std::pair<jsonlines::Server::Id, std::string>> lines;
+  std::vector<std::pair<jsonlines::Server::ConnectionId, std::string>> lines;
   std::unique_ptr<jsonlines::Server> server;
   explicit Lines(jsonlines::Limits limits) {
     jsonlines::Server::Events events;
-    events.line = [this](jsonlines::Server::Id from, std::string_view line) {
+    events.on_line = [this](jsonlines::Server::ConnectionId from, std::string_view line) {
       lines.emplace_back(from, line);
     };
-    events.closed = [](jsonlines::Server::Id, const char *) {};
+    events.on_closed = [](jsonlines::Server::ConnectionId, const char *) {};
     server = std::make_unique<jsonlines::Server>(io, loopback(), limits, std::move(events));
   }
 };
@@ -98,10 +98,10 @@
 
 TEST_CASE("who says nothing whole in time is closed, who stands idle after that is not") {
   jsonlines::Limits limits;
-  limits.first_line = 0.3;
+  limits.first_line_timeout = 0.3;
   Lines scene(limits);
-  RawPeer silent(scene.io, scene.server->local()), half(scene.io, scene.server->local()),
-      good(scene.io, scene.server->local());
+  RawPeer silent(scene.io, scene.server->local_endpoint()), half(scene.io, scene.server->local_endpoint()),
+      good(scene.io, scene.server->local_endpoint());
   half.say("{\"verb\":");
   good.say("{}\n");
   REQUIRE(run_until(
@@ -116,13 +116,13 @@
   jsonlines::Limits limits;
   limits.connections = 8;
   Lines scene(limits);
-  RawPeer held(scene.io, scene.server->local());
+  RawPeer held(scene.io, scene.server->local_endpoint());
   held.say("{}\n");
   REQUIRE(run_until(scene.io, [&] { return scene.lines.size() == 1; }));
-  scene.server->hold(scene.lines[0].first, 1);
+  scene.server->add_open_requests(scene.lines[0].first, 1);
   std::vector<std::unique_ptr<RawPeer>> crowd;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local()));
+    crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local_endpoint()));
     crowd.back()->say("{}\n");
   }
   CHECK(run_until(
@@ -136,12 +136,12 @@
   jsonlines::Limits limits;
   limits.unsent_bytes = 4096;
   Lines scene(limits);
-  RawPeer endless(scene.io, scene.server->local());
+  RawPeer endless(scene.io, scene.server->local_endpoint());
   endless.say(std::string(20000, 'x'));
   CHECK(run_until(
       scene.io, [&] { return endless.closed; }, 2));
   asio::ip::tcp::socket deaf(scene.io);
-  deaf.connect(scene.server->local());
+  deaf.connect(scene.server->local_endpoint());
   asio::write(deaf, asio::buffer("{}\n", 3));
   REQUIRE(run_until(scene.io, [&] { return scene.lines.size() == 1; }));
   bool taken = true;
@@ -159,13 +159,14 @@
   jsonlines::Limits limits;
   limits.connections = 4;
   Lines scene(limits);
-  RawPeer good(scene.io, scene.server->local());
+  RawPeer good(scene.io, scene.server->local_endpoint());
   good.say("{}\n");
   REQUIRE(run_until(scene.io, [&] { return scene.lines.size() == 1; }));
-  scene.server->vouch(scene.lines[0].first);
+  scene.server->mark_trusted(scene.lines[0].first);
   run_for(scene.io, 0.1);
   std::vector<std::unique_ptr<RawPeer>> crowd;
-  for (int i = 0; i < 12; ++i) crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local()));
+  for (int i = 0; i < 12; ++i)
+    crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local_endpoint()));
   REQUIRE(run_until(
       scene.io, [&] { return scene.server->counters().accepted == 13; }, 2));
   CHECK(scene.server->counters().room_cut >= 9);
--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -257,30 +257,30 @@
   jsonlines::Limits limits;
   limits.connections = 2;
   limits.unsent_bytes = 64 * 1024 * 1024;
-  std::vector<jsonlines::Server::Id> ids;
+  std::vector<jsonlines::Server::ConnectionId> ids;
   std::vector<std::string> lines;
   jsonlines::Server::Events events;
-  events.line = [&](jsonlines::Server::Id id, std::string_view line) {
+  events.on_line = [&](jsonlines::Server::ConnectionId id, std::string_view line) {
     ids.push_back(id), lines.emplace_back(line);
   };
-  events.closed = [](jsonlines::Server::Id, const char *) {};
+  events.on_closed = [](jsonlines::Server::ConnectionId, const char *) {};
   jsonlines::Server server(io, loopback(), limits, std::move(events));
-  SlowPeer slow(io, server.local()), quiet(io, server.local());
+  SlowPeer slow(io, server.local_endpoint()), quiet(io, server.local_endpoint());
   slow.say("a\n");
   REQUIRE(run_until(io, [&] { return ids.size() == 1; }));
   bool stuck = false; // unsent for good: the system's buffers grow for a moment
   for (int i = 0; i < 64 && !stuck; ++i) {
     server.send(ids[0], std::string(256 * 1024, 'x') + "\n");
     run_for(io, 0.002);
-    if (server.unsent() == 0) continue;
+    if (server.unsent_bytes() == 0) continue;
     run_for(io, 0.05);
-    stuck = server.unsent() > 0;
+    stuck = server.unsent_bytes() > 0;
   }
   REQUIRE(stuck);
   quiet.say("b\n");
   REQUIRE(run_until(io, [&] { return ids.size() == 2; }));
   run_for(io, 0.1); // both settled
-  RawPeer third(io, server.local());
+  RawPeer third(io, server.local_endpoint());
   std::this_thread::sleep_for(std::chrono::milliseconds(1)); // it is in the backlog
   quiet.say("c\n"); // unread when room is wanted: the loop has not run since
   run_for(io, 0.04);
@@ -292,7 +292,7 @@
   third.say("d\n");
   CHECK(run_until(
       io, [&] { return lines.back() == "d"; }, 1));
-  CHECK(server.unsent() > 0); // the slow one is still there
+  CHECK(server.unsent_bytes() > 0); // the slow one is still there
 }
 
 TEST_CASE("a release heard before the play is handed over is told once it is") {
