--- a/src/platform/ends.cpp
+++ b/src/platform/ends.cpp
@@ -3,21 +3,21 @@
 
 namespace snowshore::platform {
 
-SetUpEnd end_of(rtsp::End end, const rtsp::Message *message) {
+SetUpEnd end_of(rtsp::EndReason end, const rtsp::Message *message) {
   switch (end) {
-  case rtsp::End::refused_up:
-  case rtsp::End::not_up:
+  case rtsp::EndReason::connection_refused:
+  case rtsp::EndReason::connect_failed:
     return {Outcome::unreachable};
-  case rtsp::End::closed:
-  case rtsp::End::reset:
+  case rtsp::EndReason::closed:
+  case rtsp::EndReason::reset:
     return {Outcome::reset};
-  case rtsp::End::no_room: // never sent, and no fault of the server's
+  case rtsp::EndReason::no_capacity: // never sent, and no fault of the server's
     return {Outcome::skipped};
-  case rtsp::End::timed_out:
+  case rtsp::EndReason::timed_out:
     return {Outcome::timed_out};
-  case rtsp::End::unreadable: // it ran; the answer was spoilt on its way
+  case rtsp::EndReason::unreadable: // it ran; the answer was spoilt on its way
     return {Outcome::error};
-  case rtsp::End::answered:
+  case rtsp::EndReason::answered:
     break;
   }
   if (!message || message->status == 0) return {Outcome::reset}; // released before its answer
@@ -36,7 +36,7 @@
 }
 
 std::optional<int> cause_of(const rtsp::Message &message) {
-  auto reason = message.find("Reason");
+  auto reason = message.find_header("Reason");
   if (!reason) return std::nullopt;
   std::size_t at = reason->find("cause=");
   if (at == std::string_view::npos) return std::nullopt;
@@ -52,10 +52,11 @@
   return Outcome::reset;
 }
 
-Outcome outcome_of_probe(rtsp::End end, const rtsp::Message *message) {
-  if (end == rtsp::End::timed_out) return Outcome::timed_out;
-  if (end == rtsp::End::refused_up || end == rtsp::End::not_up) return Outcome::unreachable;
-  if (end == rtsp::End::no_room) return Outcome::busy; // says nothing of the server
+Outcome outcome_of_probe(rtsp::EndReason end, const rtsp::Message *message) {
+  if (end == rtsp::EndReason::timed_out) return Outcome::timed_out;
+  if (end == rtsp::EndReason::connection_refused || end == rtsp::EndReason::connect_failed)
+    return Outcome::unreachable;
+  if (end == rtsp::EndReason::no_capacity) return Outcome::busy; // says nothing of the server
   if (!message) return Outcome::reset;
   return message->status == 200 ? Outcome::done : message->status == 503 ? Outcome::busy : Outcome::error;
 }
--- a/src/platform/ends.h
+++ b/src/platform/ends.h
@@ -14,12 +14,12 @@
   Outcome outcome = Outcome::error;
   bool started = false;
 };
-SetUpEnd end_of(rtsp::End end, const rtsp::Message *message);
+SetUpEnd end_of(rtsp::EndReason end, const rtsp::Message *message);
 
 // The cause in a release's Reason; nothing where there is none that can be read.
 std::optional<int> cause_of(const rtsp::Message &message);
 // A server's release of a play that stands.
 Outcome outcome_of_release(int cause);
-Outcome outcome_of_probe(rtsp::End end, const rtsp::Message *message);
+Outcome outcome_of_probe(rtsp::EndReason end, const rtsp::Message *message);
 
 } // namespace snowshore::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -113,7 +113,8 @@
   Work out;
   out.for_lists = core_.servers_listed() + decision.for_lists;
   out.for_placements = decision.for_placements;
-  out.idle = decision.for_reviews + servers_.peer_counters().looks + servers_.counters().servers_walked;
+  out.idle =
+      decision.for_reviews + servers_.peer_counters().maintenance_runs + servers_.counters().servers_walked;
   return out;
 }
 
@@ -134,7 +135,7 @@
     for (const auto &[name, count] : core_.answers_so_far()) answers[name] = count;
     for (std::size_t o = 0; o < s.outcomes.size(); ++o)
       outcomes[std::string(given::kOutcomeNames[o])] = s.outcomes[o];
-    for (std::size_t d = 0; d < s.downs.size(); ++d) downs[rtsp::kEndNames[d]] = s.downs[d];
+    for (std::size_t d = 0; d < s.downs.size(); ++d) downs[rtsp::kEndReasonNames[d]] = s.downs[d];
     log_.info(
         "summary",
         {{"resident_kb", resident_kb()},
@@ -180,7 +181,7 @@
            {"answers", p.answers},
            {"given_up", p.given_up},
            {"late", p.late},
-           {"strangers", p.strangers},
+           {"strangers", p.unexpected_answers},
            {"no_room", p.no_room},
            {"ended_done", s.ended_done},
            {"ended_reset", s.ended_reset},
--- a/src/platform/servers.cpp
+++ b/src/platform/servers.cpp
@@ -32,11 +32,11 @@
 }
 
 void Servers::reload() {
-  times_.connect = times_.whole = times_.probe = boot_.connect_time;
+  times_.connect = times_.message = times_.probe = boot_.connect_time;
   times_.idle = boot_.idle_time;
   liveness_terms_.speaks_every = boot_.note_interval;
-  limits_.set_ups = boot_.streams;
-  limits_.unsent = boot_.shares.unsent_server;
+  limits_.set_ups_per_connection = boot_.streams;
+  limits_.unsent_bytes = boot_.shares.unsent_server;
   share_descriptors();
 }
 
@@ -70,7 +70,7 @@
   count_listed(one.known && one.entry.standing != Standing::left, !gone);
   one.entry = entry, one.known = true;
   if (moved && one.peer) {
-    one.peer->end_all(); // its set-ups are not answered there any more
+    one.peer->close_all(); // its set-ups are not answered there any more
     drop_peer(server);
   }
   if (plays_at(server) == 0) return;
@@ -79,7 +79,7 @@
                                {"moved", moved},
                                {"restarted", restarted},
                                {"plays", plays_at(server)}});
-  if (!moved && !restarted && !(gone && (!one.peer || one.peer->open() == 0))) return;
+  if (!moved && !restarted && !(gone && (!one.peer || one.peer->open_connections() == 0))) return;
   asio::post(io_, [this, server, serial = one.serial, restarted, before = entry.started,
                    alive = std::weak_ptr<bool>(alive_)] {
     if (alive.expired() || !site(server) || site(server)->serial != serial) return;
@@ -107,24 +107,25 @@
   Site &one = *site(server);
   with_peer_.add(server);
   rtsp::Peer::Events events;
-  events.set_up_ended = [this, server](std::uint64_t session, rtsp::End end, const rtsp::Message *message,
-                                       double took) { set_up_ended(server, session, end, message, took); };
-  events.request = [this, server](std::uint64_t session, const rtsp::Message &message) {
+  events.on_set_up_ended = [this, server](std::uint64_t session, rtsp::EndReason end,
+                                          const rtsp::Message *message,
+                                          double took) { set_up_ended(server, session, end, message, took); };
+  events.on_request = [this, server](std::uint64_t session, const rtsp::Message &message) {
     request(server, session, message);
   };
-  events.probed = [this, server](rtsp::End end, const rtsp::Message *message) {
+  events.on_probe_ended = [this, server](rtsp::EndReason end, const rtsp::Message *message) {
     Outcome outcome = outcome_of_probe(end, message);
     core_->probe_answered(server, outcome,
                           message && outcome == Outcome::done ? load_of(*message) : LoadReport{});
   };
-  events.heard = events.up = [this, server] { site(server)->life.heard(core_->clock().now()); };
-  events.down = [this, server](rtsp::End end, bool last) { down(server, end, last); };
+  events.on_data = events.on_connected = [this, server] { site(server)->life.heard(core_->clock().now()); };
+  events.on_disconnected = [this, server](rtsp::EndReason end, bool last) { down(server, end, last); };
   // Nothing is opened to a server that has left: its address may be another's by then.
-  events.may_open = [this, server] {
+  events.may_connect = [this, server] {
     if (core_->send_guard().has_left(server)) return false;
     return core_->send_guard().may_connect(server) && (connections() < boot_.shares.servers || make_room());
   };
-  events.stands = [this, server](std::uint64_t session) {
+  events.has_session = [this, server](std::uint64_t session) {
     int play = core_->plays().find(session);
     return play >= 0 && core_->plays().at(play).server == server;
   };
@@ -136,21 +137,21 @@
   if (!site(server)) return;
   count_listed(site(server)->known && site(server)->entry.standing != Standing::left, false);
   // It may be the one whose event is being told: it goes after this turn, and is not heard until then.
-  if (auto &peer = site(server)->peer) peer->shut();
+  if (auto &peer = site(server)->peer) peer->shut_down();
   with_peer_.remove(server);
   asio::post(io_, [gone = std::shared_ptr<Site>(std::move(sites_[static_cast<std::size_t>(server)]))] {});
 }
 
-void Servers::down(int server, rtsp::End end, bool last) {
+void Servers::down(int server, rtsp::EndReason end, bool last) {
   Site &one = *site(server);
   ++counters_.downs[static_cast<std::size_t>(end)];
   double now = core_->clock().now();
-  if (end == rtsp::End::refused_up) one.life.refused(now);
-  if (end == rtsp::End::not_up) one.life.not_up(now);
+  if (end == rtsp::EndReason::connection_refused) one.life.refused(now);
+  if (end == rtsp::EndReason::connect_failed) one.life.not_up(now);
   // What it said on that one may be lost; it says its releases again on the next that opens.
-  one.ask_again =
-      one.ask_again || end == rtsp::End::reset || end == rtsp::End::closed || end == rtsp::End::unreadable;
-  if (last && (end == rtsp::End::reset || end == rtsp::End::closed)) one.life.broke(now);
+  one.ask_again = one.ask_again || end == rtsp::EndReason::reset || end == rtsp::EndReason::closed ||
+                  end == rtsp::EndReason::unreadable;
+  if (last && (end == rtsp::EndReason::reset || end == rtsp::EndReason::closed)) one.life.broke(now);
   if (!last || one.entry.standing != Standing::left) return;
   lost(server, "gone", counters_.lost_gone);
 }
@@ -164,14 +165,15 @@
     // A server that has left can't be visited again: what it still holds would be given up with its
     // connection.
     if (core_->send_guard().has_left(s) && plays_at(s) > 0) continue;
-    if (auto since = peer.idle_open_since()) uses.push_back({s, plays_at(s), peer.open(), *since});
+    if (auto since = peer.oldest_idle_since())
+      uses.push_back({s, plays_at(s), peer.open_connections(), *since});
   }
   double now = telemetry::steady_now();
   auto server = connection_to_close(uses, now);
   if (!server) return false;
   ++counters_.made_room;
   site(*server)->set_aside_until = now + ConnectionBudget::kVisitEvery;
-  site(*server)->peer->drop_idle();
+  site(*server)->peer->close_oldest_idle();
   return true;
 }
 
@@ -197,7 +199,7 @@
     for (int s : concerned) {
       ++counters_.servers_walked;
       if (!site(s)) continue;
-      if (site(s)->peer) site(s)->peer->look();
+      if (site(s)->peer) site(s)->peer->maintain();
       if (!site(s)) continue; // forgotten by what that brought about
       if (plays_at(s) > 0)
         watch_plays(s, stood_still);
@@ -216,12 +218,12 @@
   if (!peer) return lost(server, "gone", counters_.lost_gone);
   if (draining_) return;
   bool gone = one.entry.standing == Standing::left; // its address may be another's
-  if (std::exchange(one.ask_again, false) && !gone) peer->ask();
+  if (std::exchange(one.ask_again, false) && !gone) peer->try_connect();
   bool set_aside = peer->connections() == 0 && telemetry::steady_now() < one.set_aside_until;
   if (set_aside && !gone) return; // its connection went to make room: it is visited again then
-  switch (one.life.judge(now, peer->open() > 0, !gone)) {
+  switch (one.life.judge(now, peer->open_connections() > 0, !gone)) {
   case Liveness::Verdict::ask:
-    return peer->ask();
+    return peer->try_connect();
   case Liveness::Verdict::lost:
     return lost(server, "silent", counters_.lost_silent);
   case Liveness::Verdict::restarted: {
@@ -257,18 +259,18 @@
     return;
   }
   ++one->sent;
-  rtsp::SetUp set_up;
+  rtsp::SetUpRequest set_up;
   set_up.session = held.id;
   set_up.title = core_->title_of(play);
   set_up.tier = boot_.core.products[static_cast<std::size_t>(held.product)].name;
   set_up.description = viewers_.description(play);
   set_up.rung = allocation.rung;
-  set_up.time_out = allocation.time_out;
+  set_up.timeout = allocation.time_out;
   peer->set_up(set_up);
 }
 
-void Servers::set_up_ended(int server, std::uint64_t session, rtsp::End end, const rtsp::Message *message,
-                           double took) {
+void Servers::set_up_ended(int server, std::uint64_t session, rtsp::EndReason end,
+                           const rtsp::Message *message, double took) {
   SetUpEnd how = end_of(end, message);
   Site &one = *site(server);
   if (how.started) one.life.spoke(core_->clock().now(), core_->clock().now());
@@ -281,7 +283,7 @@
   if (log_.writes(telemetry::Level::debug))
     log_.debug("set_up_ended", {{"session", session},
                                 {"server", one.entry.id},
-                                {"end", rtsp::kEndNames[static_cast<int>(end)]},
+                                {"end", rtsp::kEndReasonNames[static_cast<int>(end)]},
                                 {"status", message ? message->status : 0},
                                 {"took", took}});
   edge::SetUpResult result;
@@ -295,7 +297,7 @@
 
 void Servers::withdraw(int play, std::string_view) {
   const HeldPlay &held = core_->plays().at(play);
-  if (Site *one = site(held.server); one && one->peer) one->peer->give_up(held.id);
+  if (Site *one = site(held.server); one && one->peer) one->peer->cancel_set_up(held.id);
 }
 
 // ---- Plays that stand.
@@ -320,7 +322,7 @@
   const HeldPlay &held = core_->plays().at(play);
   Site *one = site(held.server);
   if (rtsp::Peer *peer = peer_of(held.server); peer && one->entry.standing != Standing::left)
-    peer->step(held.id, rung);
+    peer->set_rung(held.id, rung);
 }
 
 void Servers::end(int play, std::string_view why) {
@@ -340,7 +342,7 @@
 
 LoadReport Servers::load_of(const rtsp::Message &message) {
   LoadReport report;
-  if (auto text = message.find("X-Gauges"); text && !given::read_load(*text, ';', report).empty())
+  if (auto text = message.find_header("X-Gauges"); text && !given::read_load(*text, ';', report).empty())
     ++counters_.malformed;
   return report;
 }
@@ -361,7 +363,7 @@
   }
   if (message.method == "ANNOUNCE") {
     site(server)->life.spoke(core_->clock().now(), core_->plays().at(play).started_at);
-    auto name = message.find("X-Outcome"), amount = message.find("P-Amount");
+    auto name = message.find_header("X-Outcome"), amount = message.find_header("P-Amount");
     auto value = amount ? given::number_of(*amount) : std::nullopt;
     auto kind = std::ranges::find(kNotes, name.value_or(""), &std::pair<std::string_view, NoteKind>::first);
     if (!value || kind == std::end(kNotes)) {
@@ -382,7 +384,7 @@
 
 bool Servers::owes_releases() const {
   return std::ranges::any_of(
-      with_peer_, [&](int s) { return sites_[static_cast<std::size_t>(s)]->peer->owes_releases(); });
+      with_peer_, [&](int s) { return sites_[static_cast<std::size_t>(s)]->peer->has_unwritten_releases(); });
 }
 
 // ---- Belief beside traffic.
--- a/src/platform/servers.h
+++ b/src/platform/servers.h
@@ -21,7 +21,7 @@
                   early_ends = 0, lost_silent = 0, lost_restarted = 0, lost_gone = 0, made_room = 0,
                   servers_walked = 0;        // looked at one after another, whatever for
     std::array<std::uint64_t, 8> outcomes{}; // of set-ups
-    std::array<std::uint64_t, std::size(rtsp::kEndNames)> downs{}; // of connections
+    std::array<std::uint64_t, std::size(rtsp::kEndReasonNames)> downs{}; // of connections
   };
   Servers(asio::io_context &io, const Boot &boot, telemetry::Log &log, Viewers &viewers);
   void attach(edge::Core &core) { core_ = &core; }
@@ -77,10 +77,10 @@
   void open(int server);
   void drop_peer(int server);
   void watch_plays(int server, bool stood_still);
-  void set_up_ended(int server, std::uint64_t session, rtsp::End end, const rtsp::Message *message,
+  void set_up_ended(int server, std::uint64_t session, rtsp::EndReason end, const rtsp::Message *message,
                     double took);
   void request(int server, std::uint64_t session, const rtsp::Message &message);
-  void down(int server, rtsp::End end, bool last);
+  void down(int server, rtsp::EndReason end, bool last);
   // Plays that stood there before that moment are over; counted where there are any.
   void lost(int server, const char *why, std::uint64_t &counter, double before = 1e18);
   LoadReport load_of(const rtsp::Message &message);
@@ -93,7 +93,7 @@
   telemetry::Log &log_;
   Viewers &viewers_;
   edge::Core *core_ = nullptr;
-  rtsp::Times times_;
+  rtsp::Timeouts times_;
   rtsp::Limits limits_;
   LivenessTerms liveness_terms_;
   rtsp::PeerCounters peer_counters_;
--- a/src/rtsp/message.cpp
+++ b/src/rtsp/message.cpp
@@ -29,14 +29,14 @@
 
 } // namespace
 
-std::optional<std::string_view> Message::find(std::string_view name) const {
+std::optional<std::string_view> Message::find_header(std::string_view name) const {
   for (const auto &[key, value] : headers) {
     if (same_name(key, name)) return value;
   }
   return std::nullopt;
 }
 
-std::string write(const Message &message) {
+std::string write_message(const Message &message) {
   std::string out;
   out.reserve(256 + message.body.size());
   if (message.status > 0) {
@@ -51,7 +51,7 @@
   return out.append(message.body);
 }
 
-bool Reader::may_begin(std::string_view text) {
+bool MessageReader::may_begin(std::string_view text) {
   std::size_t same = std::min(text.size(), kVersion.size());
   if (text.substr(0, same) == kVersion.substr(0, same)) return true;
   std::size_t word = 0;
@@ -60,16 +60,16 @@
   return word > 0 && word <= kLongestMethod && text[word] == ' ';
 }
 
-std::size_t Reader::parse(std::string_view text, Message &message) {
+std::size_t MessageReader::parse(std::string_view text, Message &message) {
   auto bad = [this](const char *why) {
     why_ = why;
     return std::size_t{0};
   };
   if (text.empty()) return 0;
   if (!may_begin(text)) return bad("no message begins so");
-  std::size_t head = text.substr(0, kMaxMessage).find("\r\n\r\n");
+  std::size_t head = text.substr(0, kMaxMessageBytes).find("\r\n\r\n");
   if (head == std::string_view::npos)
-    return text.size() >= kMaxMessage ? bad("a head without end") : std::size_t{0};
+    return text.size() >= kMaxMessageBytes ? bad("a head without end") : std::size_t{0};
   std::string_view rest = text.substr(0, head + 2), first = *take_line(rest);
   if (first.starts_with(kVersion)) {
     std::string_view word = first.substr(kVersion.size());
@@ -102,14 +102,14 @@
       auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), size);
       if (length || error != std::errc() || end != value.data() + value.size())
         return bad("a bad or repeated Content-Length");
-      if (size > kMaxMessage) return bad("a body over the bound");
+      if (size > kMaxMessageBytes) return bad("a body over the bound");
       length = size;
     }
     message.headers.emplace_back(name, value);
   }
   if (!length) return bad("no Content-Length");
   std::size_t whole = head + 4 + *length;
-  if (whole > kMaxMessage) return bad("a message over the bound");
+  if (whole > kMaxMessageBytes) return bad("a message over the bound");
   if (text.size() < whole) return 0;
   message.body = text.substr(head + 4, *length);
   return whole;
--- a/src/rtsp/message.h
+++ b/src/rtsp/message.h
@@ -11,7 +11,7 @@
 
 namespace snowshore::rtsp {
 
-inline constexpr std::size_t kMaxMessage = 16 * 1024; // the protocol's bound on a message
+inline constexpr std::size_t kMaxMessageBytes = 16 * 1024; // the protocol's bound on a message
 
 struct Message {
   int status = 0;     // of an answer; 0: a request
@@ -19,18 +19,18 @@
   std::string uri;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  std::optional<std::string_view> find(std::string_view name) const; // names regardless of case
-  void add(std::string_view name, std::string_view value) { headers.emplace_back(name, value); }
+  std::optional<std::string_view> find_header(std::string_view name) const; // names regardless of case
+  void add_header(std::string_view name, std::string_view value) { headers.emplace_back(name, value); }
 };
 
 // Headers as they are, Content-Length added. Values must hold no line ends: who writes sees to that.
-std::string write(const Message &message);
+std::string write_message(const Message &message);
 
-class Reader {
+class MessageReader {
  public:
-  // Takes bytes, calls on_message for each whole message; false once something can't be read (why() says
+  // Takes bytes, calls on_message for each whole message; false once something can't be read (error() says
   // what): the message before it is not told either if what follows it in the same piece is no message.
-  template <class F> bool take(std::string_view bytes, F on_message) {
+  template <class F> bool feed(std::string_view bytes, F on_message) {
     if (!why_.empty()) return false;
     buffer_.append(bytes);
     std::size_t at = 0;
@@ -48,8 +48,8 @@
     buffer_.erase(0, at);
     return why_.empty();
   }
-  bool partial() const { return !buffer_.empty(); }
-  const std::string &why() const { return why_; }
+  bool has_partial_message() const { return !buffer_.empty(); }
+  const std::string &error() const { return why_; }
 
  private:
   std::size_t parse(std::string_view text,
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -10,11 +10,11 @@
 using namespace snowshore;
 
 static std::pair<bool, std::size_t> answers(std::string_view all, std::size_t cut) {
-  rtsp::Reader reader;
+  rtsp::MessageReader reader;
   std::size_t told = 0;
   bool fine = true;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)})
-    fine = fine && reader.take(part, [&](const rtsp::Message &message) { told += 1 + message.body.size(); });
+    fine = fine && reader.feed(part, [&](const rtsp::Message &message) { told += 1 + message.body.size(); });
   return {fine, told};
 }
 
--- a/tests/platform/scene.h
+++ b/tests/platform/scene.h
@@ -21,36 +21,36 @@
   std::vector<std::string> torn, rungs; // sessions
   std::vector<std::string> tiers;       // of set-ups
   std::string how = "play";             // or what the case says
-  std::map<RawServer::Link *, rtsp::Reader> readers;
+  std::map<RawServer::Link *, rtsp::MessageReader> readers;
   explicit StandIn(asio::io_context &io) : server(io) {
     server.on_data = [this](RawServer::Link &link) {
       std::string heard = std::exchange(link.heard, {});
-      readers[&link].take(heard, [&](const rtsp::Message &message) { on(link, message); });
+      readers[&link].feed(heard, [&](const rtsp::Message &message) { on(link, message); });
     };
   }
   static std::string answer(const std::string &session, int status, const std::string &body = "") {
     rtsp::Message message;
     message.status = status;
-    message.add("CSeq", "1");
-    message.add("Session", session);
+    message.add_header("CSeq", "1");
+    message.add_header("Session", session);
     message.body = body;
-    return rtsp::write(message);
+    return rtsp::write_message(message);
   }
   static std::string request(const std::string &session, const char *method,
                              std::vector<std::pair<std::string, std::string>> headers) {
     rtsp::Message message;
     message.method = method, message.uri = "rtsp://media/s";
-    message.add("CSeq", "9");
-    message.add("Session", session);
-    for (auto &[name, value] : headers) message.add(name, value);
-    return rtsp::write(message);
+    message.add_header("CSeq", "9");
+    message.add_header("Session", session);
+    for (auto &[name, value] : headers) message.add_header(name, value);
+    return rtsp::write_message(message);
   }
   void on(RawServer::Link &link, const rtsp::Message &message) {
-    std::string session(message.find("Session").value_or(""));
+    std::string session(message.find_header("Session").value_or(""));
     if (message.method == "SETUP") {
       asked.push_back({&link, session, message.uri.substr(13),
-                       std::stoi(std::string(message.find("P-Level").value_or("-1")))});
-      tiers.emplace_back(message.find("X-Tier").value_or(""));
+                       std::stoi(std::string(message.find_header("P-Level").value_or("-1")))});
+      tiers.emplace_back(message.find_header("X-Tier").value_or(""));
       act(link, session);
     } else if (message.method == "TEARDOWN" && how == "deaf") { // its connection goes as it comes, once
       how = "play";
@@ -64,8 +64,9 @@
     } else if (message.method == "OPTIONS") {
       rtsp::Message back;
       back.status = 200;
-      back.add("CSeq", "3"), back.add("Session", session), back.add("X-Gauges", "cpu:0.2;x1:0.2");
-      RawServer::say(link, rtsp::write(back));
+      back.add_header("CSeq", "3"), back.add_header("Session", session),
+          back.add_header("X-Gauges", "cpu:0.2;x1:0.2");
+      RawServer::say(link, rtsp::write_message(back));
     }
   }
   void act(RawServer::Link &link, const std::string &session) {
--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -331,21 +331,21 @@
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io, loopback());
   acceptor.set_option(asio::socket_base::receive_buffer_size(4096));
-  rtsp::Times times;
+  rtsp::Timeouts times;
   rtsp::Limits limits;
-  limits.connections = 1, limits.unsent = 64 * 1024 * 1024, limits.set_ups = 100000;
+  limits.connections = 1, limits.unsent_bytes = 64 * 1024 * 1024, limits.set_ups_per_connection = 100000;
   rtsp::PeerCounters counters;
   rtsp::Peer::Events events;
-  std::vector<std::pair<std::uint64_t, rtsp::End>> ends;
-  events.set_up_ended = [&](std::uint64_t session, rtsp::End end, const rtsp::Message *, double) {
+  std::vector<std::pair<std::uint64_t, rtsp::EndReason>> ends;
+  events.on_set_up_ended = [&](std::uint64_t session, rtsp::EndReason end, const rtsp::Message *, double) {
     ends.emplace_back(session, end);
   };
-  events.request = [](std::uint64_t, const rtsp::Message &) {};
-  events.probed = [](rtsp::End, const rtsp::Message *) {};
-  events.heard = events.up = [] {};
-  events.down = [](rtsp::End, bool) {};
-  events.may_open = [] { return true; };
-  events.stands = [](std::uint64_t) { return false; };
+  events.on_request = [](std::uint64_t, const rtsp::Message &) {};
+  events.on_probe_ended = [](rtsp::EndReason, const rtsp::Message *) {};
+  events.on_data = events.on_connected = [] {};
+  events.on_disconnected = [](rtsp::EndReason, bool) {};
+  events.may_connect = [] { return true; };
+  events.has_session = [](std::uint64_t) { return false; };
   rtsp::Peer peer(io, acceptor.local_endpoint(), times, limits, counters, 7, std::move(events));
   std::string description(15000, 'x');
   auto ask = [&](std::uint64_t session, double time_out) {
@@ -357,15 +357,15 @@
   acceptor.accept(server);
   while (last < 1000) ask(++last, 30); // more than its buffers take, on the way all at once
   run_for(io, 0.1);
-  REQUIRE(peer.unsent() == 0);
+  REQUIRE(peer.unsent_bytes() == 0);
   ask(++last, 30);
-  peer.give_up(last);
+  peer.cancel_set_up(last);
   ask(++last, 0.02); // its time runs out there
   REQUIRE(run_until(
       io, [&] { return !ends.empty(); }, 1));
   REQUIRE(ends.size() == 1);
   CHECK(ends[0].first == last);
-  CHECK(rtsp::kEndNames[static_cast<int>(ends[0].second)] == std::string("not_up"));
+  CHECK(rtsp::kEndReasonNames[static_cast<int>(ends[0].second)] == std::string("not_up"));
   CHECK(counters.recalled_unsent == 2);
   std::string all; // now the server reads
   server.non_blocking(true);
@@ -375,7 +375,7 @@
         char buffer[65536];
         asio::error_code error;
         while (std::size_t n = server.read_some(asio::buffer(buffer), error)) all.append(buffer, n);
-        return peer.unsent() == 0;
+        return peer.unsent_bytes() == 0;
       },
       2);
   run_for(io, 0.05);
--- a/tests/rtsp/test_rtsp.cpp
+++ b/tests/rtsp/test_rtsp.cpp
@@ -14,10 +14,10 @@
 };
 
 Read read(std::string_view bytes, std::size_t piece) {
-  rtsp::Reader reader;
+  rtsp::MessageReader reader;
   Read out;
   for (std::size_t at = 0; at < bytes.size() && out.readable; at += piece)
-    out.readable = reader.take(bytes.substr(at, piece), [&](const rtsp::Message &message) {
+    out.readable = reader.feed(bytes.substr(at, piece), [&](const rtsp::Message &message) {
       out.seen.push_back((message.status ? std::to_string(message.status) : message.method) + " " +
                          message.body);
     });
@@ -81,20 +81,20 @@
 TEST_CASE("what is written is read back") {
   rtsp::Message message;
   message.method = "SETUP", message.uri = "rtsp://media/7f3a9c21e0b4d655", message.body = "x\r\ny\r\n";
-  message.add("CSeq", "1");
-  rtsp::Reader reader;
+  message.add_header("CSeq", "1");
+  rtsp::MessageReader reader;
   int seen = 0;
-  CHECK(reader.take(rtsp::write(message), [&](const rtsp::Message &back) {
+  CHECK(reader.feed(rtsp::write_message(message), [&](const rtsp::Message &back) {
     ++seen;
     CHECK(back.uri == message.uri);
     CHECK(back.body == message.body);
-    CHECK(back.find("cseq") == std::optional<std::string_view>("1"));
+    CHECK(back.find_header("cseq") == std::optional<std::string_view>("1"));
   }));
   CHECK(seen == 1);
 }
 
 TEST_CASE("each end of a set-up has one outcome") {
-  using rtsp::End;
+  using rtsp::EndReason;
   struct Row {
     End end;
     int status; // 0: a release, -1: no message
@@ -102,14 +102,20 @@
     bool started;
   };
   for (Row row :
-       {Row{End::answered, 200, Outcome::done, true}, Row{End::answered, 453, Outcome::busy, false},
-        Row{End::answered, 500, Outcome::error, false}, Row{End::answered, 454, Outcome::skipped, false},
-        Row{End::answered, 504, Outcome::reset, false}, Row{End::answered, 302, Outcome::error, false},
-        Row{End::answered, 0, Outcome::reset, false}, Row{End::refused_up, -1, Outcome::unreachable, false},
-        Row{End::not_up, -1, Outcome::unreachable, false}, Row{End::closed, -1, Outcome::reset, false},
-        Row{End::reset, -1, Outcome::reset, false}, Row{End::unreadable, -1, Outcome::error, false},
-        Row{End::timed_out, -1, Outcome::timed_out, false}, Row{End::no_room, -1, Outcome::skipped, false}}) {
-    CAPTURE(rtsp::kEndNames[static_cast<int>(row.end)], row.status);
+       {Row{EndReason::answered, 200, Outcome::done, true},
+        Row{EndReason::answered, 453, Outcome::busy, false},
+        Row{EndReason::answered, 500, Outcome::error, false},
+        Row{EndReason::answered, 454, Outcome::skipped, false},
+        Row{EndReason::answered, 504, Outcome::reset, false},
+        Row{EndReason::answered, 302, Outcome::error, false},
+        Row{EndReason::answered, 0, Outcome::reset, false},
+        Row{EndReason::connection_refused, -1, Outcome::unreachable, false},
+        Row{EndReason::connect_failed, -1, Outcome::unreachable, false},
+        Row{EndReason::closed, -1, Outcome::reset, false}, Row{EndReason::reset, -1, Outcome::reset, false},
+        Row{EndReason::unreadable, -1, Outcome::error, false},
+        Row{EndReason::timed_out, -1, Outcome::timed_out, false},
+        Row{EndReason::no_capacity, -1, Outcome::skipped, false}}) {
+    CAPTURE(rtsp::kEndReasonNames[static_cast<int>(row.end)], row.status);
     rtsp::Message message;
     message.status = std::max(row.status, 0);
     auto end = platform::end_of(row.end, row.status < 0 ? nullptr : &message);
@@ -128,7 +134,7 @@
         Row{"cause=99", Outcome::reset}, Row{"cause=", Outcome::reset}, Row{"", Outcome::reset}}) {
     CAPTURE(row.reason);
     rtsp::Message message;
-    message.add("Reason", row.reason);
+    message.add_header("Reason", row.reason);
     CHECK(platform::outcome_of_release(platform::cause_of(message).value_or(platform::kCauseFailed)) ==
           row.outcome);
   }
@@ -137,31 +143,31 @@
 TEST_CASE("a peer that is shut says nothing more, whatever its server and its timers still do") {
   asio::io_context io;
   testing::RawServer server(io);
-  rtsp::Times times;
+  rtsp::Timeouts times;
   times.idle = 0.2; // a look would close the connection, and tell of it
   rtsp::Limits limits;
   rtsp::PeerCounters counters;
   int events = 0;
   rtsp::Peer::Events told;
-  told.set_up_ended = [&](std::uint64_t, rtsp::End, const rtsp::Message *, double) { ++events; };
-  told.request = [&](std::uint64_t, const rtsp::Message &) { ++events; };
-  told.probed = [&](rtsp::End, const rtsp::Message *) { ++events; };
-  told.heard = told.up = [&] { ++events; };
-  told.down = [&](rtsp::End, bool) { ++events; };
-  told.may_open = [] { return true; };
-  told.stands = [](std::uint64_t) { return false; };
+  told.on_set_up_ended = [&](std::uint64_t, rtsp::EndReason, const rtsp::Message *, double) { ++events; };
+  told.on_request = [&](std::uint64_t, const rtsp::Message &) { ++events; };
+  told.on_probe_ended = [&](rtsp::EndReason, const rtsp::Message *) { ++events; };
+  told.on_data = told.on_connected = [&] { ++events; };
+  told.on_disconnected = [&](rtsp::EndReason, bool) { ++events; };
+  told.may_connect = [] { return true; };
+  told.has_session = [](std::uint64_t) { return false; };
   rtsp::Peer peer(io, server.acceptor.local_endpoint(), times, limits, counters, 7, std::move(told));
-  rtsp::SetUp set_up;
+  rtsp::SetUpRequest set_up;
   set_up.session = 0x9b1f03aa5c7e2d41, set_up.title = "7f3a9c21e0b4d655", set_up.tier = "clip",
-  set_up.time_out = 0.1;
+  set_up.timeout = 0.1;
   peer.set_up(set_up);
   peer.probe();
   REQUIRE(testing::run_until(io, [&] { return !server.links.empty() && !server.links[0]->heard.empty(); }));
   testing::RawServer::say(*server.links[0], answer("v=0\r\n"));
   int before = events;
   CHECK(before > 0); // it came up
-  peer.shut();
+  peer.shut_down();
   testing::run_for(io, 0.5);
-  peer.look();
+  peer.maintain();
   CHECK(events == before);
 }
