--- a/src/edge/change.cpp
+++ b/src/edge/change.cpp
@@ -19,7 +19,7 @@
     return held("/front/limits/open_plays", core_.plays().open());
   if (players_->connections() > next.limits.players.connections)
     return held("/front/limits/connections", players_->connections());
-  if (client_.connections() > next.limits.servers.in_all)
+  if (client_.connections() > next.limits.servers.total_connections)
     return held("/front/limits/all_connections", client_.connections());
   std::optional<std::string> why;
   std::map<std::pair<int, int>, int> seats; // by title and product
@@ -76,7 +76,7 @@
   } else {
     core_.renew(core_terms(record_));
   }
-  log_.info("changed", {{"drained", drained}, {"players", players_->local().port()}});
+  log_.info("changed", {{"drained", drained}, {"players", players_->local_endpoint().port()}});
   if (on_changed) on_changed();
   return std::nullopt;
 }
--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -25,42 +25,42 @@
 
 Channel::~Channel() {
   stop_following();
-  client_.forget_server(address_);
+  client_.close_idle_connections(address_);
 }
 
 void Channel::set_address(const http::Endpoint &address) {
   if (address == address_) return;
-  client_.forget_server(address_);
+  client_.close_idle_connections(address_);
   address_ = address;
   if (stream_ == Stream::closed) return;
   stop_following();
   follow();
 }
 
-http::Client::Id Channel::set_up(const serverwire::SetUp &set_up, double time_out,
-                                 std::function<void(const SetUpResult &)> done) {
+http::Client::RequestId Channel::set_up(const serverwire::SetUp &set_up, double time_out,
+                                        std::function<void(const SetUpResult &)> done) {
   auto alive = std::weak_ptr<bool>(alive_);
   auto answered = [this, alive, play = set_up.play, allocation = set_up.allocation,
                    done = std::move(done)](const http::Result &result) {
     if (alive.expired()) return;
     SetUpResult out;
-    out.took = result.took;
-    switch (result.ending) {
-    case http::Ending::unreachable:
-    case http::Ending::no_room:
+    out.took = result.duration;
+    switch (result.end_reason) {
+    case http::EndReason::unreachable:
+    case http::EndReason::no_capacity:
       out.outcome = Outcome::unreachable;
       break;
-    case http::Ending::timed_out:
+    case http::EndReason::timed_out:
       out.outcome = Outcome::timed_out;
       break;
-    case http::Ending::reset:
+    case http::EndReason::reset:
       out.outcome = Outcome::reset;
       break;
-    case http::Ending::malformed:
+    case http::EndReason::malformed:
       out.outcome = Outcome::error;
       if (events_.malformed) events_.malformed(server_);
       break;
-    case http::Ending::answered:
+    case http::EndReason::answered:
       out.load = load_of(result.response);
       out.started = result.response.status == 201;
       out.outcome = out.started                     ? Outcome::done
@@ -92,7 +92,7 @@
   client_.send(address_, serverwire::write_end(play, allocation, reason), kEndTime,
                [this, alive = std::weak_ptr<bool>(alive_), play, allocation, reason = std::string(reason),
                 tries](const http::Result &result) {
-                 if (alive.expired() || result.ending == http::Ending::answered || tries <= 1) return;
+                 if (alive.expired() || result.end_reason == http::EndReason::answered || tries <= 1) return;
                  end(play, allocation, reason, tries - 1);
                });
 }
@@ -103,14 +103,14 @@
                [this, alive, done = std::move(done)](const http::Result &result) {
                  if (alive.expired()) return;
                  Outcome outcome = Outcome::error;
-                 if (result.ending == http::Ending::answered)
+                 if (result.end_reason == http::EndReason::answered)
                    outcome = result.response.status == 200   ? Outcome::done
                              : result.response.status == 503 ? Outcome::busy
                                                              : Outcome::error;
-                 if (result.ending == http::Ending::timed_out) outcome = Outcome::timed_out;
-                 if (result.ending == http::Ending::reset) outcome = Outcome::reset;
-                 if (result.ending == http::Ending::unreachable) outcome = Outcome::unreachable;
-                 if (result.ending == http::Ending::no_room)
+                 if (result.end_reason == http::EndReason::timed_out) outcome = Outcome::timed_out;
+                 if (result.end_reason == http::EndReason::reset) outcome = Outcome::reset;
+                 if (result.end_reason == http::EndReason::unreachable) outcome = Outcome::unreachable;
+                 if (result.end_reason == http::EndReason::no_capacity)
                    outcome = Outcome::busy; // says nothing of the server
                  done(outcome, outcome == Outcome::done ? load_of(result.response) : LoadReport{});
                });
@@ -161,7 +161,7 @@
         });
       },
       [this, alive](const http::Result &result) {
-        if (!alive.expired()) stream_ended(result.ending);
+        if (!alive.expired()) stream_ended(result.end_reason);
       });
 }
 
@@ -183,11 +183,11 @@
   if (report->kind != serverwire::Report::Kind::beat) events_.report(server_, *report);
 }
 
-void Channel::stream_ended(http::Ending ending) {
+void Channel::stream_ended(http::EndReason ending) {
   stream_id_ = 0;
   if (stream_ == Stream::closed) return;
   // Refused on the very address where it served: its process is gone, and its plays with it.
-  bool gone = ending == http::Ending::unreachable && now_() - last_heard_ < times_.lost_after &&
+  bool gone = ending == http::EndReason::unreachable && now_() - last_heard_ < times_.lost_after &&
               pauses_.failures() > 0;
   reopen_later();
   if (gone && !told_lost_) {
--- a/src/edge/channel.h
+++ b/src/edge/channel.h
@@ -41,8 +41,8 @@
 
   void set_address(const http::Endpoint &address);
   const http::Endpoint &address() const { return address_; }
-  http::Client::Id set_up(const serverwire::SetUp &set_up, double time_out,
-                          std::function<void(const SetUpResult &)> done);
+  http::Client::RequestId set_up(const serverwire::SetUp &set_up, double time_out,
+                                 std::function<void(const SetUpResult &)> done);
   void set_rung(const std::string &play, int rung);
   void end(const std::string &play, int allocation, std::string_view reason, int tries = 3);
   void probe(std::function<void(Outcome, const LoadReport &)> done);
@@ -53,7 +53,7 @@
   enum class Stream { closed, opening, open, waiting };
   void become(Stream next);
   void open_stream();
-  void stream_ended(http::Ending ending);
+  void stream_ended(http::EndReason ending);
   void reopen_later();
   void line(std::string_view text);
   void watch();
@@ -70,7 +70,7 @@
   const Events &events_;
   asio::steady_timer reopen_timer_, watch_timer_;
   Stream stream_ = Stream::closed;
-  http::Client::Id stream_id_ = 0;
+  http::Client::RequestId stream_id_ = 0;
   serverwire::LineSplitter lines_;
   double asked_at_ = 0, last_heard_ = 0, watched_at_ = 0, started_ = 0;
   bool told_lost_ = false;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -130,14 +130,14 @@
   auto place = catalogue_.find(title);
   if (place == catalogue_.end()) return refuse(404, "no_title", "no such title");
   PlayTerms terms;
-  std::string product = request.query_value("product").value_or(record_.products[0].name);
+  std::string product = request.query_parameter("product").value_or(record_.products[0].name);
   auto found = std::ranges::find(record_.products, product, &ProductTerms::name);
   if (found == record_.products.end()) return refuse(400, "no_product", "no such product");
   terms.product = static_cast<int>(found - record_.products.begin());
   terms.first_cell = place->second.first_cell;
   terms.cells = place->second.cells;
   auto seconds = [&](const char *name, std::optional<double> &into) {
-    auto text = request.query_value(name);
+    auto text = request.query_parameter(name);
     if (!text) return true;
     double value = 0;
     auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), value);
@@ -149,7 +149,7 @@
     return refuse(400, "malformed", "time_left and length are seconds above 0");
   if (terms.time_left) terms.time_left = std::min(*terms.time_left, found->time_limit);
   hints::Cmcd hints;
-  if (auto text = request.query_value("CMCD")) hints::read_cmcd(*text, hints);
+  if (auto text = request.query_parameter("CMCD")) hints::read_cmcd(*text, hints);
   for (std::string_view name : hints::kCmcdHeaders) {
     if (auto text = request.headers.find(name)) hints::read_cmcd(*text, hints);
   }
@@ -165,8 +165,8 @@
          record_.rung_rates[static_cast<std::size_t>(terms.best_rung)] * found->rate_factor * 8 >
              *hints.top_kbps)
     --terms.best_rung;
-  terms.again = request.query_value("again") == "1";
-  terms.moved = request.query_value("moved") == "1";
+  terms.again = request.query_parameter("again") == "1";
+  terms.moved = request.query_parameter("moved") == "1";
   return terms;
 }
 
@@ -175,7 +175,7 @@
   auto from = std::chrono::steady_clock::now();
   auto refuse = [&](const char *why, http::Response response) {
     counters_->turned_away(why).Increment();
-    exchange->answer(response);
+    exchange->respond(response);
   };
   if (!request.path.starts_with(kPlay) || request.path.size() == kPlay.size())
     return refuse("no_path", plain(404, "plays are asked for at /play/{title}"));
@@ -196,12 +196,12 @@
   }
   std::string title = request.path.substr(kPlay.size());
   http::Response refusal;
-  auto terms = terms_of(request, title, refusal, exchange->peer);
-  if (!terms) return exchange->answer(refusal);
+  auto terms = terms_of(request, title, refusal, exchange->peer_address);
+  if (!terms) return exchange->respond(refusal);
 
   PlayRef ref = core_.take(next_play_++, title);
   at_door(ref.index).player = exchange;
-  exchange->on_gone = [this, ref] {
+  exchange->on_disconnect = [this, ref] {
     if (!core_.holds(ref)) return;
     at_door(ref.index).player.reset();
     core_.player_left(ref.index);
@@ -224,7 +224,7 @@
 
 void Edge::say(int play, http::Response response) {
   response.headers.add("Snowshore-Play", text_id(play));
-  if (auto player = std::move(at_door(play).player)) player->answer(response);
+  if (auto player = std::move(at_door(play).player)) player->respond(response);
 }
 
 void Edge::answer(int index, const SetUpResult &result) {
@@ -234,8 +234,8 @@
   const http::Endpoint &at = channel(play.server).address();
   std::string host = at.address().is_v6() ? "[" + at.address().to_string() + "]" : at.address().to_string();
   response.headers.add("Location", "http://" + host + ":" + std::to_string(at.port()) + "/media/" +
-                                       http::encode(text_id(index)) +
-                                       "?title=" + http::encode(core_.title_of(index)) +
+                                       http::percent_encode(text_id(index)) +
+                                       "?title=" + http::percent_encode(core_.title_of(index)) +
                                        "&rung=" + std::to_string(play.rung));
   response.headers.add("Cache-Control", "no-store");
   response.headers.add("Snowshore-Rung", std::to_string(play.rung));
@@ -387,18 +387,18 @@
 void Edge::on_operator(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
   if (request.path == "/metrics") {
     http::Response response = plain(200, "");
-    response.headers.all[0].value = "text/plain; version=0.0.4";
+    response.headers.fields[0].value = "text/plain; version=0.0.4";
     response.body = metrics_text();
-    exchange->answer(response);
+    exchange->respond(response);
   } else if (request.path == "/healthz") {
-    exchange->answer(plain(200, "ok"));
+    exchange->respond(plain(200, "ok"));
   } else if (request.path == "/readyz") {
     bool ready = service() == Service::serving && record_.take_plays;
-    exchange->answer(plain(ready ? 200 : 503, ready                           ? "ready"
-                                              : service_ == Service::starting ? "no list yet"
-                                                                              : "draining"));
+    exchange->respond(plain(ready ? 200 : 503, ready                           ? "ready"
+                                               : service_ == Service::starting ? "no list yet"
+                                                                               : "draining"));
   } else {
-    exchange->answer(plain(404, "operators' pages: /metrics, /healthz, /readyz"));
+    exchange->respond(plain(404, "operators' pages: /metrics, /healthz, /readyz"));
   }
 }
 
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -24,8 +24,8 @@
        MakeFront make = make_front);
   ~Edge() override;
 
-  http::Endpoint players() const { return players_->local(); }
-  http::Endpoint operators() const { return operators_.local(); }
+  http::Endpoint players() const { return players_->local_endpoint(); }
+  http::Endpoint operators() const { return operators_.local_endpoint(); }
   telemetry::LoopClock &clock() { return core_.clock(); }
 
   // Limits and log level change in service. Returns what else differs and needs a restart (empty: nothing).
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -32,7 +32,8 @@
   // Idle, and not past its time: a process that stood still finds timers that are due and did not run yet.
   bool fresh() const { return state_ == State::idle && timer_.expiry() > Clock::now(); }
 
-  void begin(Client::Id id, const Request &request, double time_out, Client::Done done, Client::Late late) {
+  void begin(Client::RequestId id, const Request &request, double time_out, Client::ResultCallback done,
+             Client::LateCallback late) {
     id_ = id, done_ = std::move(done), late_ = std::move(late);
     began_ = Clock::now();
     waited_once_more_ = false;
@@ -45,7 +46,7 @@
     arm(std::min(span(client_.limits_.connect_time), span(time_out)));
     socket_.async_connect(server, [self = shared_from_this()](asio::error_code error) {
       if (self->state_ != State::connecting) return;
-      if (error) return self->end(Ending::unreachable);
+      if (error) return self->end(EndReason::unreachable);
       asio::error_code ignored;
       self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
       self->become(State::asking);
@@ -105,14 +106,14 @@
     }
     switch (state_) {
     case State::connecting:
-      return end(Ending::unreachable);
+      return end(EndReason::unreachable);
     case State::asking: { // the answer may still come: it is waited for, apart
-      if (!late_) return end(Ending::timed_out);
+      if (!late_) return end(EndReason::timed_out);
       become(State::late);
       client_.in_hand_.erase(id_);
       arm(span(client_.limits_.late_time));
       Result result;
-      result.ending = Ending::timed_out;
+      result.end_reason = EndReason::timed_out;
       return tell(std::move(result));
     }
     case State::late:
@@ -143,9 +144,9 @@
 
   void peer_closed() {
     if (state_ == State::idle) return close();
-    auto progress = reader_.end();
+    auto progress = reader_.end_of_input();
     if (progress == MessageReader::Progress::complete) return answered();
-    end(Ending::reset);
+    end(EndReason::reset);
   }
 
   void take(std::string_view bytes) {
@@ -153,7 +154,7 @@
     std::size_t taken = 0;
     auto progress = reader_.feed(bytes, taken);
     if (state_ == State::closed || progress == MessageReader::Progress::needs_more) return;
-    if (progress == MessageReader::Progress::failed) return end(Ending::malformed);
+    if (progress == MessageReader::Progress::failed) return end(EndReason::malformed);
     bool more = taken < bytes.size(); // bytes beyond the one answer: this connection is not to be trusted
     answered(more);
   }
@@ -161,7 +162,7 @@
   void answered(bool spoilt = false) {
     Response response = std::move(reader_.response);
     bool keep = reader_.keep_alive() && !spoilt && state_ != State::streaming;
-    reader_.next();
+    reader_.start_next();
     State before = state_;
     auto self = shared_from_this();
     client_.in_hand_.erase(id_);
@@ -177,22 +178,22 @@
       return;
     }
     Result result;
-    result.ending = Ending::answered;
+    result.end_reason = EndReason::answered;
     result.response = std::move(response);
     tell(std::move(result));
   }
 
-  void end(Ending ending) {
+  void end(EndReason ending) {
     bool owed = state_ != State::late;
     close();
     if (!owed) return;
     Result result;
-    result.ending = ending;
+    result.end_reason = ending;
     tell(std::move(result));
   }
 
   void tell(Result result) {
-    result.took = std::chrono::duration<double>(Clock::now() - began_).count();
+    result.duration = std::chrono::duration<double>(Clock::now() - began_).count();
     if (auto done = std::exchange(done_, nullptr)) done(result);
   }
 
@@ -203,9 +204,9 @@
   MessageReader reader_;
   State state_ = State::connecting;
   bool waited_once_more_ = false;
-  Client::Id id_ = 0;
-  Client::Done done_;
-  Client::Late late_;
+  Client::RequestId id_ = 0;
+  Client::ResultCallback done_;
+  Client::LateCallback late_;
   Clock::time_point began_, give_up_at_;
   std::string out_;
   std::array<char, 4096> chunk_;
@@ -227,7 +228,7 @@
       }
     }
   }
-  if (connections.size() >= limits_.per_server || in_all_ >= limits_.in_all) {
+  if (connections.size() >= limits_.connections_per_server || in_all_ >= limits_.total_connections) {
     if (connections.empty()) servers_.erase(to);
     ++counters_.no_room;
     return nullptr;
@@ -238,17 +239,18 @@
   return connections.back();
 }
 
-Client::Id Client::no_room(Id id, Done done) {
+Client::RequestId Client::no_room(RequestId id, ResultCallback done) {
   asio::post(io_, [done = std::move(done)] {
     Result result;
-    result.ending = Ending::no_room;
+    result.end_reason = EndReason::no_capacity;
     if (done) done(result);
   });
   return id;
 }
 
-Client::Id Client::send(const Endpoint &to, const Request &request, double time_out, Done done, Late late) {
-  Id id = next_++;
+Client::RequestId Client::send(const Endpoint &to, const Request &request, double time_out,
+                               ResultCallback done, LateCallback late) {
+  RequestId id = next_++;
   auto connection = connection_to(to, false);
   if (!connection) return no_room(id, std::move(done));
   in_hand_[id] = connection;
@@ -256,10 +258,10 @@
   return id;
 }
 
-Client::Id Client::stream(const Endpoint &to, const Request &request, double head_time,
-                          std::function<void(const Response &)> head,
-                          std::function<void(std::string_view)> data, Done done) {
-  Id id = next_++;
+Client::RequestId Client::stream(const Endpoint &to, const Request &request, double head_time,
+                                 std::function<void(const Response &)> head,
+                                 std::function<void(std::string_view)> data, ResultCallback done) {
+  RequestId id = next_++;
   auto connection = connection_to(to, true);
   if (!connection) return no_room(id, std::move(done));
   in_hand_[id] = connection;
@@ -268,7 +270,7 @@
   return id;
 }
 
-bool Client::cancel(Id id) {
+bool Client::cancel(RequestId id) {
   auto it = in_hand_.find(id);
   if (it == in_hand_.end()) return false;
   auto connection = it->second.lock();
@@ -277,7 +279,7 @@
   return connection != nullptr;
 }
 
-void Client::forget_server(const Endpoint &to) {
+void Client::close_idle_connections(const Endpoint &to) {
   auto it = servers_.find(to);
   if (it == servers_.end()) return;
   auto connections = it->second;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -25,8 +25,8 @@
 }
 
 void append_status(std::string &out, const Response &response) {
-  out += "HTTP/1.1 " + std::to_string(response.status) + " " + reason_of(response.status) + "\r\n";
-  for (const Header &header : response.headers.all) append_header(out, header);
+  out += "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) + "\r\n";
+  for (const Header &header : response.headers.fields) append_header(out, header);
 }
 
 int hex(char c) {
@@ -40,14 +40,14 @@
 
 std::optional<std::string> Headers::find(std::string_view name) const {
   std::optional<std::string> found;
-  for (const Header &header : all) {
+  for (const Header &header : fields) {
     if (!same_name(header.name, name)) continue;
     found = found ? *found + ", " + header.value : header.value;
   }
   return found;
 }
 
-std::optional<std::string> Request::query_value(std::string_view name) const {
+std::optional<std::string> Request::query_parameter(std::string_view name) const {
   std::string_view rest = query;
   while (!rest.empty()) {
     std::size_t end = rest.find('&');
@@ -55,12 +55,12 @@
     rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + 1);
     std::size_t equals = pair.find('=');
     if (pair.substr(0, equals) != name) continue;
-    return decode(equals == std::string_view::npos ? "" : pair.substr(equals + 1), true);
+    return percent_decode(equals == std::string_view::npos ? "" : pair.substr(equals + 1), true);
   }
   return std::nullopt;
 }
 
-std::string encode(std::string_view text) {
+std::string percent_encode(std::string_view text) {
   std::string out;
   for (unsigned char c : text) {
     bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
@@ -74,7 +74,7 @@
   return out;
 }
 
-std::optional<std::string> decode(std::string_view text, bool plus_is_space) {
+std::optional<std::string> percent_decode(std::string_view text, bool plus_is_space) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '+' && plus_is_space) {
@@ -92,7 +92,7 @@
   return out;
 }
 
-const char *reason_of(int status) {
+const char *reason_phrase(int status) {
   switch (status) {
 #define SNOWSHORE_REASON(number, name, text)                                                                 \
   case number:                                                                                               \
@@ -107,7 +107,7 @@
 std::string write_request(const Request &request, std::string_view host) {
   std::string out = request.method + " " + request.target + " HTTP/1.1\r\n";
   append_header(out, {"Host", std::string(host)});
-  for (const Header &header : request.headers.all) append_header(out, header);
+  for (const Header &header : request.headers.fields) append_header(out, header);
   if (!request.body.empty() || request.method == "POST" || request.method == "PUT")
     append_header(out, {"Content-Length", std::to_string(request.body.size())});
   return out + "\r\n" + request.body;
@@ -144,7 +144,7 @@
   request.target.clear();
 }
 
-void MessageReader::next() {
+void MessageReader::start_next() {
   header_bytes_ = body_bytes_ = 0;
   begun_ = headers_done_ = complete_ = in_value_ = false;
   request = {}, response = {};
@@ -173,9 +173,9 @@
   auto &self = *static_cast<MessageReader *>(p->data);
   Headers &headers = self.kind_ == Kind::request ? self.request.headers : self.response.headers;
   if (!self.count(size)) return self.fail(431, "the header is longer than the limit");
-  if (self.in_value_ || headers.all.empty()) headers.all.push_back({});
+  if (self.in_value_ || headers.fields.empty()) headers.fields.push_back({});
   self.in_value_ = false;
-  headers.all.back().name.append(at, size);
+  headers.fields.back().name.append(at, size);
   return 0;
 }
 
@@ -184,7 +184,7 @@
   Headers &headers = self.kind_ == Kind::request ? self.request.headers : self.response.headers;
   if (!self.count(size + 4)) return self.fail(431, "the header is longer than the limit");
   self.in_value_ = true;
-  headers.all.back().value.append(at, size);
+  headers.fields.back().value.append(at, size);
   return 0;
 }
 
@@ -194,7 +194,7 @@
   if (self.kind_ == Kind::request) {
     self.request.method = http_method_str(static_cast<http_method>(p->method));
     std::size_t mark = self.request.target.find('?');
-    auto path = decode(std::string_view(self.request.target).substr(0, mark));
+    auto path = percent_decode(std::string_view(self.request.target).substr(0, mark));
     if (!path) return self.fail(400, "a bad escape in the path");
     self.request.path = *path;
     if (mark != std::string::npos) self.request.query = self.request.target.substr(mark + 1);
@@ -253,7 +253,7 @@
   return Progress::failed;
 }
 
-MessageReader::Progress MessageReader::end() {
+MessageReader::Progress MessageReader::end_of_input() {
   if (failure_status_) return Progress::failed;
   std::size_t unused = 0;
   if (!begun_) return Progress::needs_more;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -15,10 +15,10 @@
 };
 
 struct Headers {
-  std::vector<Header> all;
+  std::vector<Header> fields;
   // The first of that name, whatever its case; several of one name are joined by ", " (RFC 9110 5.3).
   std::optional<std::string> find(std::string_view name) const;
-  void add(std::string name, std::string value) { all.push_back({std::move(name), std::move(value)}); }
+  void add(std::string name, std::string value) { fields.push_back({std::move(name), std::move(value)}); }
 };
 
 struct Request {
@@ -27,7 +27,7 @@
   std::string query; // as it stands
   Headers headers;
   std::string body;
-  std::optional<std::string> query_value(std::string_view name) const; // decoded; the first of that name
+  std::optional<std::string> query_parameter(std::string_view name) const; // decoded; the first of that name
 };
 
 struct Response {
@@ -42,10 +42,11 @@
 std::string write_response(const Response &response, bool keep_alive);
 std::string write_stream_head(const Response &response); // its body follows in chunks
 std::string write_chunk(std::string_view data);          // empty: the last chunk
-const char *reason_of(int status);
+const char *reason_phrase(int status);
 
-std::string encode(std::string_view text); // for one segment of a path or a query value
-std::optional<std::string> decode(std::string_view text, bool plus_is_space = false); // none: a bad escape
+std::string percent_encode(std::string_view text); // for one segment of a path or a query value
+std::optional<std::string> percent_decode(std::string_view text,
+                                          bool plus_is_space = false); // none: a bad escape
 
 struct ReadLimits {
   std::size_t header_bytes = 16 << 10, body_bytes = 64 << 10;
@@ -61,16 +62,16 @@
   MessageReader(const MessageReader &) = delete;
   MessageReader &operator=(const MessageReader &) = delete;
 
-  // Takes bytes up to the end of one message; taken says how many. After complete, call next().
+  // Takes bytes up to the end of one message; taken says how many. After complete, call start_next().
   Progress feed(std::string_view bytes, std::size_t &taken);
-  Progress end(); // the peer closed
-  void next();
+  Progress end_of_input(); // the peer closed
+  void start_next();
 
-  bool begun() const { return begun_; } // some bytes of a message were read
-  bool headers_done() const { return headers_done_; }
+  bool has_begun() const { return begun_; } // some bytes of a message were read
+  bool headers_complete() const { return headers_done_; }
   bool keep_alive() const { return keep_alive_; }
   int failure_status() const { return failure_status_; } // what a server answers: 400, 413, 414, 431, 501
-  const std::string &failure() const { return failure_; }
+  const std::string &failure_reason() const { return failure_; }
   Request request;
   Response response;
   std::function<void(std::string_view)> on_body; // when set, a body is handed on and not kept
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -35,7 +35,7 @@
   std::list<std::shared_ptr<ServerConnection>>::iterator place;
 
   State state() const { return state_; }
-  bool idle() const { return state_ == State::reading && !reader_.begun(); }
+  bool idle() const { return state_ == State::reading && !reader_.has_begun(); }
   bool used() const { return used_; }
   bool has_unread() const {
     asio::error_code error;
@@ -47,10 +47,10 @@
   void check_times() {
     const ServerLimits &limits = server_.limits_;
     if (state_ == State::reading) {
-      bool waits_for_next = used_ && !reader_.begun();
+      bool waits_for_next = used_ && !reader_.has_begun();
       if (since(changed_) <= (waits_for_next ? limits.idle_time : limits.header_time)) return;
       ++(waits_for_next ? server_.counters_.idle_cut : server_.counters_.slow_cut);
-      if (reader_.begun()) return refuse(408, "the request took too long");
+      if (reader_.has_begun()) return refuse(408, "the request took too long");
       close();
     } else if (writing_now_ && since(write_began_) > limits.write_time) {
       ++server_.counters_.slow_cut;
@@ -77,7 +77,7 @@
 
   bool write(std::string_view chunk) {
     if (state_ != State::streaming) return false;
-    if (out_.size() + chunk.size() > server_.limits_.stream_bytes) {
+    if (out_.size() + chunk.size() > server_.limits_.unsent_stream_bytes) {
       ++server_.counters_.stream_cut;
       close(true);
       return false;
@@ -105,8 +105,8 @@
     socket_.close(ignored);
     auto exchange = std::move(exchange_);
     server_.gone(place);
-    if (owed && exchange && exchange->on_gone) {
-      auto told = std::move(exchange->on_gone);
+    if (owed && exchange && exchange->on_disconnect) {
+      auto told = std::move(exchange->on_disconnect);
       told();
     }
   }
@@ -118,14 +118,15 @@
   }
 
   void read() {
-    if (reading_now_ || state_ == State::closed || waiting_.size() > server_.limits_.waiting_bytes) return;
+    if (reading_now_ || state_ == State::closed || waiting_.size() > server_.limits_.pipelined_bytes) return;
     reading_now_ = true;
     socket_.async_read_some(asio::buffer(chunk_),
                             [self = shared_from_this()](asio::error_code error, std::size_t n) {
                               self->reading_now_ = false;
                               if (self->state_ == State::closed) return;
                               if (error) {
-                                if (self->state_ == State::in_hand) ++self->server_.counters_.left_early;
+                                if (self->state_ == State::in_hand)
+                                  ++self->server_.counters_.disconnected_early;
                                 if (self->state_ == State::writing && error == asio::error::eof)
                                   return; // its last answer still goes out
                                 return self->close();
@@ -138,24 +139,24 @@
 
   void take() {
     while (state_ == State::reading && !waiting_.empty()) {
-      bool had_begun = reader_.begun();
+      bool had_begun = reader_.has_begun();
       std::size_t taken = 0;
       auto progress = reader_.feed(waiting_, taken);
       waiting_.erase(0, taken);
-      if (!had_begun && reader_.begun()) changed_ = Clock::now();
+      if (!had_begun && reader_.has_begun()) changed_ = Clock::now();
       if (progress == MessageReader::Progress::needs_more) return;
       if (progress == MessageReader::Progress::failed) {
         ++server_.counters_.malformed;
-        return refuse(reader_.failure_status(), reader_.failure());
+        return refuse(reader_.failure_status(), reader_.failure_reason());
       }
       ++server_.counters_.requests;
       used_ = true;
       keep_alive_ = reader_.keep_alive();
       exchange_ = std::make_shared<Exchange>();
       exchange_->connection_ = weak_from_this();
-      exchange_->peer = peer_;
+      exchange_->peer_address = peer_;
       Request request = std::move(reader_.request);
-      reader_.next();
+      reader_.start_next();
       become(State::in_hand);
       auto exchange = exchange_;
       server_.handler_(request, exchange);
@@ -204,10 +205,10 @@
   std::shared_ptr<Exchange> exchange_;
 };
 
-void Exchange::answer(const Response &response) {
+void Exchange::respond(const Response &response) {
   if (begun_) return;
   begun_ = ended_ = true;
-  on_gone = nullptr;
+  on_disconnect = nullptr;
   if (auto c = connection_.lock()) c->answer(response);
 }
 
@@ -225,17 +226,17 @@
 void Exchange::end_stream() {
   if (!begun_ || ended_) return;
   ended_ = true;
-  on_gone = nullptr;
+  on_disconnect = nullptr;
   if (auto c = connection_.lock()) c->end_stream();
 }
 
-void Exchange::cut() {
-  on_gone = nullptr;
+void Exchange::reset_connection() {
+  on_disconnect = nullptr;
   begun_ = ended_ = true;
   if (auto c = connection_.lock()) c->close(true);
 }
 
-bool Exchange::open() const {
+bool Exchange::is_open() const {
   auto c = connection_.lock();
   return !ended_ && c && c->state() != ServerConnection::State::closed;
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -21,32 +21,32 @@
 struct ServerLimits {
   ReadLimits read;
   std::size_t connections = 4096;
-  std::size_t waiting_bytes = 64 << 10; // pipelined behind a request in hand
-  std::size_t stream_bytes = 1 << 20;   // written to a stream and not yet taken by its reader
-  double header_time = 5;               // from a request's first byte, or a connection's start, to its last
-  double idle_time = 30;                // a kept connection without a request
-  double write_time = 10;               // an answer that its reader does not take
+  std::size_t pipelined_bytes = 64 << 10;    // pipelined behind a request in hand
+  std::size_t unsent_stream_bytes = 1 << 20; // written to a stream and not yet taken by its reader
+  double header_time = 5; // from a request's first byte, or a connection's start, to its last
+  double idle_time = 30;  // a kept connection without a request
+  double write_time = 10; // an answer that its reader does not take
 };
 
 struct ServerCounters {
   std::uint64_t accepted = 0, requests = 0, malformed = 0, slow_cut = 0, idle_cut = 0, accept_pauses = 0,
-                accept_faults = 0, left_early = 0, stream_cut = 0;
+                accept_faults = 0, disconnected_early = 0, stream_cut = 0;
 };
 
 class ServerConnection;
 
-// One request's answer. Exactly one of answer() or open_stream() is called, once; later calls do nothing.
+// One request's answer. Exactly one of respond() or open_stream() is called, once; later calls do nothing.
 class Exchange {
  public:
-  void answer(const Response &response);
+  void respond(const Response &response);
   void open_stream(const Response &head);
   bool write(std::string_view chunk); // false when the reader is gone or was cut for not reading
   void end_stream();
-  void cut(); // closes the connection without an answer, by a reset
-  bool open() const;
+  void reset_connection(); // closes the connection without an answer, by a reset
+  bool is_open() const;
   // Called at most once, when the peer closed or was cut before the answer (or the stream) was complete.
-  std::function<void()> on_gone;
-  std::string peer;
+  std::function<void()> on_disconnect;
+  std::string peer_address;
 
  private:
   friend class ServerConnection;
@@ -62,7 +62,7 @@
   // choice.
   Server(asio::io_context &io, const Endpoint &where, const ServerLimits &limits, Handler handler);
   ~Server();
-  Endpoint local() const { return local_; }
+  Endpoint local_endpoint() const { return local_; }
   const ServerCounters &counters() const { return counters_; }
   std::size_t connections() const { return connections_.size(); }
   void set_limits(const ServerLimits &limits) { limits_ = limits; }
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -68,7 +68,7 @@
     });
     thread_.join();
   }
-  unsigned short port(int s) const { return servers_[static_cast<std::size_t>(s)]->local().port(); }
+  unsigned short port(int s) const { return servers_[static_cast<std::size_t>(s)]->local_endpoint().port(); }
   void hold(double seconds) {
     asio::post(io_, [this, seconds] { hold_ = seconds; });
   }
@@ -88,7 +88,7 @@
     if (request.method == "POST" && play) {
       response.status = 201;
       held_.push_back({Clock::now(), s, *play});
-      return exchange->answer(response);
+      return exchange->respond(response);
     }
     if (request.path.starts_with("/fronts/")) {
       exchange->open_stream(response);
@@ -98,7 +98,7 @@
       streams_[static_cast<std::size_t>(s)] = exchange;
       return;
     }
-    exchange->answer(response);
+    exchange->respond(response);
   }
   void tick() {
     timer_.expires_after(std::chrono::milliseconds(20));
@@ -249,7 +249,7 @@
 
   asio::io_context io(1);
   http::ClientLimits limits;
-  limits.per_server = limits.in_all = 100000, limits.connect_time = 5;
+  limits.connections_per_server = limits.total_connections = 100000, limits.connect_time = 5;
   http::Client client(io, limits);
   auto run_for = [&](double seconds) {
     io.restart();
@@ -303,7 +303,7 @@
         client.send(players, request, 10, [&, due](const http::Result &result) {
           --waiting;
           answers.push_back(std::max(0.0, seconds_since(due)));
-          bool answered = result.ending == http::Ending::answered;
+          bool answered = result.end_reason == http::EndReason::answered;
           ++(answered && result.response.status == 307   ? out.plays
              : answered && result.response.status == 503 ? out.declined
                                                          : out.failed);
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -17,13 +17,13 @@
 
 http::ClientLimits generous() {
   http::ClientLimits limits;
-  limits.per_server = limits.in_all = 100000;
+  limits.connections_per_server = limits.total_connections = 100000;
   limits.connect_time = 2.5; // a full listen queue answers after a second or two, a dead front at once
   limits.idle_time = 0.7;    // shorter than any front's, as players do it: what is sent never meets a closing
   return limits;
 }
 
-const char *name_of(http::Ending ending) {
+const char *name_of(http::EndReason ending) {
   constexpr const char *kNames[] = {"answered", "unreachable", "no_room", "timed_out", "reset", "malformed"};
   return kNames[static_cast<int>(ending)];
 }
@@ -80,7 +80,7 @@
   if (viewer->again) request.target += "&again=1";
   if (viewer->moved) request.target += "&moved=1";
   if (number % 2)
-    request.target += "&CMCD=" + http::encode(hints::write_cmcd(hints));
+    request.target += "&CMCD=" + http::percent_encode(hints::write_cmcd(hints));
   else
     request.headers.add("CMCD-Session", hints::write_cmcd(hints));
   if (number % 17 == 0) request.headers.add("CMCD-Status", "bs,,=x,rtp=\"");
@@ -101,7 +101,7 @@
         *open = false;
         --waiting_;
         answered(viewer, number, name, result);
-        if (result.ending == http::Ending::answered && result.response.status == 307)
+        if (result.end_reason == http::EndReason::answered && result.response.status == 307)
           watch(viewer, number, result.response.headers.find("Location").value_or(""), asked_for);
       });
   if (lot() < leavers_) {
@@ -116,12 +116,12 @@
 
 void Players::answered(const std::shared_ptr<Viewer> &viewer, std::uint64_t ask, const std::string &front,
                        const http::Result &result) {
-  if (result.ending != http::Ending::answered) {
-    trace_.put("no_answer", {{"ask", ask}, {"front", front}, {"ending", name_of(result.ending)}});
+  if (result.end_reason != http::EndReason::answered) {
+    trace_.put("no_answer", {{"ask", ask}, {"front", front}, {"ending", name_of(result.end_reason)}});
     return come_again(viewer, day_.pause);
   }
   const http::Headers &headers = result.response.headers;
-  Json line = {{"ask", ask}, {"front", front}, {"status", result.response.status}, {"took", result.took}};
+  Json line = {{"ask", ask}, {"front", front}, {"status", result.response.status}, {"took", result.duration}};
   if (auto play = headers.find("Snowshore-Play")) line["play"] = *play;
   if (auto rung = headers.find("Snowshore-Rung")) line["rung"] = *rung;
   if (auto after = headers.find("Retry-After")) line["retry_after"] = *after;
@@ -168,7 +168,7 @@
       [this, viewer, ask, open](const http::Result &result) {
         *open = false;
         --watching_;
-        trace_.put("break", {{"ask", ask}, {"ending", name_of(result.ending)}});
+        trace_.put("break", {{"ask", ask}, {"ending", name_of(result.end_reason)}});
         come_again(viewer, day_.pause);
       });
   later(io_, viewer->length, [this, id, open, ask] {
--- a/src/lab/run_day.cpp
+++ b/src/lab/run_day.cpp
@@ -261,7 +261,7 @@
         http::Request request;
         request.target = "/readyz";
         probe_.send(front->operators(), request, 1, [&](const http::Result &result) {
-          ready = result.response.status == 200 && result.ending == http::Ending::answered;
+          ready = result.response.status == 200 && result.end_reason == http::EndReason::answered;
           asked = ready;
         });
       }
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -40,7 +40,7 @@
       [this](const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
         on_request(request, exchange);
       });
-  address_ = server_->local();
+  address_ = server_->local_endpoint();
   up_ = true, draining_ = fallen_ = false;
   started_ = cold ? clock_.exact() : clock_.exact() - 1000;
   cold_from_ = started_;
@@ -62,8 +62,8 @@
   up_ = false;
   for (auto &[id, play] : plays_) {
     trace_.put("end", {{"server", id_}, {"play", id}, {"reason", "server"}});
-    if (play.asker) play.asker->on_gone = nullptr;
-    if (play.player) play.player->on_gone = nullptr;
+    if (play.asker) play.asker->on_disconnect = nullptr;
+    if (play.player) play.player->on_disconnect = nullptr;
   }
   plays_.clear(), followers_.clear(), due_.clear();
 }
@@ -72,8 +72,8 @@
 
 void StandInServer::cut_streams() {
   for (Follower &follower : followers_) {
-    follower.stream->on_gone = nullptr;
-    follower.stream->cut();
+    follower.stream->on_disconnect = nullptr;
+    follower.stream->reset_connection();
   }
   followers_.clear();
 }
@@ -102,7 +102,7 @@
     auto play = serverwire::play_of(request.path);
     if (request.method == "POST" && play) return on_set_up(request, exchange);
     if (request.method == "GET" && request.path == "/load") {
-      if (!mute()) exchange->answer(load_answer(200));
+      if (!mute()) exchange->respond(load_answer(200));
     } else if (request.method == "GET" && request.path.starts_with("/fronts/")) {
       on_reports(request, exchange);
     } else if (request.method == "PUT" && play) {
@@ -117,20 +117,20 @@
         report.kind = serverwire::Report::Kind::rung, report.play = *play, report.value = rung;
         report_soon(it->second.front, report, day_.note_delay);
       }
-      exchange->answer(load_answer(it == plays_.end() ? 404 : 204));
+      exchange->respond(load_answer(it == plays_.end() ? 404 : 204));
     } else if (request.method == "DELETE" && play) {
       std::string reason = serverwire::text_part(request, "reason");
       trace_.put("withdraw", {{"server", id_}, {"play", *play}, {"reason", reason}});
       if (mute()) return;
       withdrawn_[*play] = clock_.now();
       if (plays_.contains(*play)) end_play(*play, reason == "moved" ? "moved" : "withdrawn", false);
-      exchange->answer(load_answer(204));
+      exchange->respond(load_answer(204));
     } else {
-      exchange->answer(load_answer(404));
+      exchange->respond(load_answer(404));
     }
   } catch (const std::invalid_argument &error) {
     trace_.put("malformed", {{"server", id_}, {"why", error.what()}});
-    exchange->answer(load_answer(400));
+    exchange->respond(load_answer(400));
   }
 }
 
@@ -166,7 +166,7 @@
     return;
   }
   if (mute()) {
-    exchange->on_gone = [this, play = s.play, number = s.allocation] {
+    exchange->on_disconnect = [this, play = s.play, number = s.allocation] {
       trace_.put("closed", {{"server", id_}, {"play", play}, {"number", number}});
     };
     return;
@@ -176,7 +176,7 @@
               (day_.full_from > 0 && told_link_ > day_.full_from);
   if (draining_ || full || withdrawn || plays_.contains(s.play)) {
     trace_.put("answer", {{"server", id_}, {"play", s.play}, {"number", s.allocation}, {"status", 503}});
-    return exchange->answer(load_answer(503));
+    return exchange->respond(load_answer(503));
   }
   Play play;
   play.id = s.play, play.front = s.front, play.boot = s.boot, play.title = s.title, play.product = s.product;
@@ -191,7 +191,7 @@
       day_.set_up_time * times(chance_) * std::max(1.0, day_.places / day_.site.seconds("warm_up") / pace());
   play.expires_at = clock_.now() + s.expires_in;
   play.asker = exchange;
-  exchange->on_gone = [this, id = s.play, number = s.allocation] {
+  exchange->on_disconnect = [this, id = s.play, number = s.allocation] {
     trace_.put("closed", {{"server", id_}, {"play", id}, {"number", number}});
     if (plays_.contains(id)) end_play(id, "withdrawn", false);
   };
@@ -209,7 +209,7 @@
   }
   if (clock_.now() > play.expires_at) {
     trace_.put("answer", {{"server", id_}, {"play", id}, {"number", play.allocation}, {"status", 504}});
-    if (play.asker) play.asker->answer(load_answer(504));
+    if (play.asker) play.asker->respond(load_answer(504));
     plays_.erase(it);
     return;
   }
@@ -221,7 +221,7 @@
   boost::random::uniform_real_distribution<> lot(0, 1);
   double chance = lot(chance_);
   auto exchange = std::exchange(play.asker, nullptr);
-  exchange->on_gone = nullptr;
+  exchange->on_disconnect = nullptr;
   Json line = {{"server", id_}, {"play", id}, {"number", play.allocation}, {"status", 201}};
   if (faults.nonsense) {
     line["lost"] = "nonsense";
@@ -229,21 +229,21 @@
     http::Response nonsense;
     nonsense.headers.add("CMSD-Dynamic", "\"x\";com.snowshore-link=much;;=");
     nonsense.body = "<html>";
-    exchange->answer(nonsense);
+    exchange->respond(nonsense);
   } else if (chance < faults.lose_silent) {
     line["lost"] = "silent";
     trace_.put("answer", line);
   } else if (chance < faults.lose_silent + faults.lose_reset) {
     line["lost"] = "reset";
     trace_.put("answer", line);
-    exchange->cut();
+    exchange->reset_connection();
   } else if (faults.late_by > 0) {
     line["late_by"] = faults.late_by;
     trace_.put("answer", line);
-    later(io_, faults.late_by, [exchange, response = load_answer(201)] { exchange->answer(response); });
+    later(io_, faults.late_by, [exchange, response = load_answer(201)] { exchange->respond(response); });
   } else {
     trace_.put("answer", line);
-    exchange->answer(load_answer(201));
+    exchange->respond(load_answer(201));
   }
 }
 
@@ -256,12 +256,12 @@
   if (!there) {
     http::Response response;
     response.status = 404;
-    return exchange->answer(response);
+    return exchange->respond(response);
   }
   Play &play = it->second;
   play.claimed = true;
   play.player = exchange;
-  exchange->on_gone = [this, id] {
+  exchange->on_disconnect = [this, id] {
     if (plays_.contains(id)) end_play(id, "done");
   };
   exchange->open_stream({});
@@ -290,11 +290,11 @@
   for (const std::string &id : over) end_play(id, "front", false);
   std::erase_if(followers_, [&](Follower &f) {
     if (f.front != follower.front) return false;
-    f.stream->on_gone = nullptr;
+    f.stream->on_disconnect = nullptr;
     f.stream->end_stream();
     return true;
   });
-  exchange->on_gone = [this, raw = exchange.get()] {
+  exchange->on_disconnect = [this, raw = exchange.get()] {
     std::erase_if(followers_, [&](const Follower &f) { return f.stream.get() == raw; });
   };
   exchange->open_stream({});
@@ -310,12 +310,12 @@
   plays_.erase(it);
   trace_.put("end", {{"server", id_}, {"play", id}, {"reason", reason}});
   if (play.asker) { // withdrawn before it was ready
-    play.asker->on_gone = nullptr;
+    play.asker->on_disconnect = nullptr;
     trace_.put("answer", {{"server", id_}, {"play", id}, {"number", play.allocation}, {"status", 410}});
-    play.asker->answer(load_answer(410));
+    play.asker->respond(load_answer(410));
   }
   if (play.player) {
-    play.player->on_gone = nullptr;
+    play.player->on_disconnect = nullptr;
     play.player->write(std::string("end ") + reason + "\n");
     play.player->end_stream();
   }
--- a/src/serverwire/protocol.cpp
+++ b/src/serverwire/protocol.cpp
@@ -31,15 +31,15 @@
 } // namespace
 
 http::Request write_set_up(const SetUp &s) {
-  return request("POST", "/plays/" + http::encode(s.play) + "?title=" + http::encode(s.title) +
-                             "&product=" + http::encode(s.product) + "&rung=" + std::to_string(s.rung) +
-                             "&allocation=" + std::to_string(s.allocation) +
-                             "&front=" + http::encode(s.front) + "&boot=" + http::encode(s.boot) +
-                             "&expires_in=" + number_text(s.expires_in));
+  return request(
+      "POST", "/plays/" + http::percent_encode(s.play) + "?title=" + http::percent_encode(s.title) +
+                  "&product=" + http::percent_encode(s.product) + "&rung=" + std::to_string(s.rung) +
+                  "&allocation=" + std::to_string(s.allocation) + "&front=" + http::percent_encode(s.front) +
+                  "&boot=" + http::percent_encode(s.boot) + "&expires_in=" + number_text(s.expires_in));
 }
 
 std::string text_part(const http::Request &request, std::string_view name) {
-  auto value = request.query_value(name);
+  auto value = request.query_parameter(name);
   if (!value || value->empty()) throw std::invalid_argument("the part " + std::string(name) + " is missing");
   return *value;
 }
@@ -85,19 +85,20 @@
 }
 
 http::Request write_rung(const std::string &play, int rung, std::uint64_t step) {
-  return request("PUT", "/plays/" + http::encode(play) + "/rung?rung=" + std::to_string(rung) +
+  return request("PUT", "/plays/" + http::percent_encode(play) + "/rung?rung=" + std::to_string(rung) +
                             "&step=" + std::to_string(step));
 }
 
 http::Request write_end(const std::string &play, int allocation, std::string_view reason) {
-  return request("DELETE", "/plays/" + http::encode(play) + "?allocation=" + std::to_string(allocation) +
-                               "&reason=" + http::encode(reason));
+  return request("DELETE", "/plays/" + http::percent_encode(play) + "?allocation=" +
+                               std::to_string(allocation) + "&reason=" + http::percent_encode(reason));
 }
 
 http::Request write_probe() { return request("GET", "/load"); }
 
 http::Request write_reports(const std::string &front, const std::string &boot) {
-  return request("GET", "/fronts/" + http::encode(front) + "/reports?boot=" + http::encode(boot));
+  return request("GET",
+                 "/fronts/" + http::percent_encode(front) + "/reports?boot=" + http::percent_encode(boot));
 }
 
 std::string write_report(const Report &report) {
--- a/src/site/front_record.cpp
+++ b/src/site/front_record.cpp
@@ -355,8 +355,8 @@
   l.players.header_time = limits.seconds("header_time");
   l.players.idle_time = limits.seconds("idle_time");
   l.players.write_time = limits.seconds("write_time");
-  l.servers.per_server = static_cast<std::size_t>(limits.whole("server_connections"));
-  l.servers.in_all = static_cast<std::size_t>(limits.whole("all_connections"));
+  l.servers.connections_per_server = static_cast<std::size_t>(limits.whole("server_connections"));
+  l.servers.total_connections = static_cast<std::size_t>(limits.whole("all_connections"));
   l.servers.connect_time = limits.seconds("connect_time");
   l.servers.late_time = limits.seconds("late_time");
   l.open_plays = static_cast<std::size_t>(limits.whole("open_plays"));
--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -36,7 +36,7 @@
         [this](const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
           on(request, exchange);
         });
-    at = server->local();
+    at = server->local_endpoint();
   }
   static http::Response says(int status, double link = 0.2) {
     hints::CmsdLoad load;
@@ -52,16 +52,16 @@
       asked.push_back({serverwire::read_set_up(request), exchange});
       if (!answers || mute) return;
       holds.push_back(*play);
-      exchange->answer(says(201));
+      exchange->respond(says(201));
     } else if (request.method == "DELETE") {
       ended.push_back(*play);
-      if (!mute) exchange->answer(says(204));
+      if (!mute) exchange->respond(says(204));
     } else if (request.method == "PUT") {
       rungs.push_back(*play + " " + std::to_string(serverwire::whole_part(request, "rung")));
-      exchange->answer(says(204));
+      exchange->respond(says(204));
     } else if (request.path == "/load") {
       ++probes;
-      if (!mute) exchange->answer(says(200));
+      if (!mute) exchange->respond(says(200));
     } else if (follows && !mute) {
       exchange->open_stream({});
       serverwire::Report hello;
--- a/tests/edge/test_edge.cpp
+++ b/tests/edge/test_edge.cpp
@@ -38,10 +38,10 @@
                     ? *scene.servers[1]
                     : *scene.servers[0];
   auto &second = &first == scene.servers[0].get() ? *scene.servers[1] : *scene.servers[0];
-  first.asked[0].exchange->answer(FakeServer::says(201)); // while the second is out
+  first.asked[0].exchange->respond(FakeServer::says(201)); // while the second is out
   scene.run_for(0.05);
   CHECK(EdgeScene::status(player) == 0);
-  second.asked[0].exchange->answer(FakeServer::says(201));
+  second.asked[0].exchange->respond(FakeServer::says(201));
   REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
   CHECK(player.heard.find(std::to_string(second.at.port())) != std::string::npos);
   CHECK(
@@ -69,13 +69,13 @@
     FakeServer &server = scene.server_asked();
     std::string how = row.how;
     for (auto &other : scene.servers) other->answers = true;
-    if (how == "reset") server.asked[0].exchange->cut();
-    if (how == "busy") server.asked[0].exchange->answer(FakeServer::says(503));
+    if (how == "reset") server.asked[0].exchange->reset_connection();
+    if (how == "busy") server.asked[0].exchange->respond(FakeServer::says(503));
     if (how == "nonsense") {
       http::Response nonsense;
       nonsense.headers.add("CMSD-Dynamic", "\"x\";com.snowshore-link=full;;");
       nonsense.body = "<html>";
-      server.asked[0].exchange->answer(nonsense);
+      server.asked[0].exchange->respond(nonsense);
     }
     REQUIRE(scene.until([&] { return EdgeScene::status(player) != 0; }));
     CHECK(EdgeScene::status(player) == row.status);
@@ -97,7 +97,7 @@
   FakeServer &server = scene.server_asked();
   CHECK(scene.until([&] { return server.ended.size() == 1; }));
   CHECK(scene.open() == 0);
-  server.asked[0].exchange->answer(FakeServer::says(201)); // too late for anyone
+  server.asked[0].exchange->respond(FakeServer::says(201)); // too late for anyone
   scene.run_for(0.05);
   CHECK(scene.open() == 0);
   CHECK(scene.set_ups() == 1);
@@ -112,7 +112,7 @@
   bool is_first = &server == scene.servers[0].get();
   scene.publish(is_first ? std::vector{Standing::leaving, Standing::active}
                          : std::vector{Standing::active, Standing::leaving});
-  server.asked[0].exchange->answer(FakeServer::says(201));
+  server.asked[0].exchange->respond(FakeServer::says(201));
   REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
   for (auto &other : scene.servers) other->answers = true;
   for (int i = 0; i < 6; ++i) scene.ask(i % 2 ? "/play/a" : "/play/b");
@@ -155,7 +155,7 @@
     server.holds.clear();
     if (row.held) server.holds.push_back(play);
     server.holds.push_back("f0-earlier-1");
-    server.streams.back()->cut();
+    server.streams.back()->reset_connection();
     REQUIRE(scene.until([&] { return server.streams.size() == 2; }));
     CHECK(scene.until([&] { return std::ranges::count(server.ended, "f0-earlier-1") == 1; }));
     CHECK(scene.open() == row.open);
@@ -190,7 +190,7 @@
   server.holds.push_back(server.asked[0].set_up.play);
   // The answer is written, then the whole process stands still past the allocation's time-out and past
   // lost_after.
-  server.asked[0].exchange->answer(FakeServer::says(201));
+  server.asked[0].exchange->respond(FakeServer::says(201));
   std::this_thread::sleep_for(std::chrono::milliseconds(800));
   REQUIRE(scene.until([&] { return EdgeScene::status(playing) != 0; }));
   CHECK(EdgeScene::status(playing) == 307);
@@ -262,7 +262,7 @@
   kept.say("GET /play/a HTTP/1.1\r\nHost: f\r\n\r\n");
   CHECK(scene.until([&] { return kept.count("503 Service") == 1; }));
   CHECK(!drained);
-  scene.server_asked().asked[0].exchange->answer(FakeServer::says(201));
+  scene.server_asked().asked[0].exchange->respond(FakeServer::says(201));
   CHECK(scene.until([&] { return drained; }));
   CHECK(EdgeScene::status(player) == 307);
 }
@@ -472,7 +472,7 @@
   REQUIRE_FALSE(scene.edge->change(read_text(moved), false));
   CHECK(scene.edge->players().port() == port);
   FakeServer &asked = scene.server_asked();
-  asked.asked[0].exchange->answer(FakeServer::says(201));
+  asked.asked[0].exchange->respond(FakeServer::says(201));
   CHECK(scene.until([&] { return scene.status(one) == 307; }));
   asio::ip::tcp::socket late(scene.io);
   asio::error_code refused;
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -20,7 +20,7 @@
       part.remove_prefix(taken);
       if (progress == http::MessageReader::Progress::failed) return sum * 1000 + reader.failure_status();
       if (progress == http::MessageReader::Progress::complete)
-        ++sum, reader.next();
+        ++sum, reader.start_next();
       else if (taken == 0)
         break;
     }
@@ -46,6 +46,6 @@
     auto again = serverwire::read_report(line);
     if (!again || again->kind != report->kind || again->play != report->play) std::abort();
   }
-  http::decode(text);
+  http::percent_decode(text);
   return 0;
 }
--- a/tests/http/test_http.cpp
+++ b/tests/http/test_http.cpp
@@ -20,17 +20,17 @@
       : server(io, loopback(), limits,
                [this](const Request &request, const std::shared_ptr<Exchange> &exchange) {
                  if (request.path == "/hold") {
-                   exchange->on_gone = [this] { ++gone; };
+                   exchange->on_disconnect = [this] { ++gone; };
                    held.push_back(exchange);
                  } else if (request.path == "/stream") {
-                   exchange->on_gone = [this] { ++gone; };
+                   exchange->on_disconnect = [this] { ++gone; };
                    exchange->open_stream({});
                    held.push_back(exchange);
                  } else {
                    Response response;
                    response.headers.add("X-Path", request.path);
                    response.body = request.path + request.body;
-                   exchange->answer(response);
+                   exchange->respond(response);
                  }
                }) {}
 };
@@ -45,15 +45,15 @@
 
 TEST_CASE("pipelined requests are answered in order, the second waits for the first") {
   Echo echo;
-  RawPeer peer(echo.io, echo.server.local());
+  RawPeer peer(echo.io, echo.server.local_endpoint());
   peer.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return !echo.held.empty(); }));
   run_for(echo.io, 0.05);
   CHECK(peer.heard.empty());
   Response first;
   first.body = "first";
-  echo.held[0]->answer(first);
-  echo.held[0]->answer(first); // a second answer is none
+  echo.held[0]->respond(first);
+  echo.held[0]->respond(first); // a second answer is none
   REQUIRE(run_until(echo.io, [&] { return peer.heard.find("/b") != std::string::npos; }));
   CHECK(peer.heard.find("first") < peer.heard.find("X-Path: /b"));
   CHECK(peer.count("HTTP/1.1 200") == 2);
@@ -76,7 +76,7 @@
                          Row{"GET / HTTP/1.1\r\nHos", "408"}, Row{"", ""}}) {
     CAPTURE(row.text.substr(0, 60));
     Echo echo(limits);
-    RawPeer peer(echo.io, echo.server.local());
+    RawPeer peer(echo.io, echo.server.local_endpoint());
     peer.say(row.text);
     REQUIRE(run_until(echo.io, [&] { return peer.closed; }));
     CHECK(peer.heard.substr(0, 12) == (*row.status ? std::string("HTTP/1.1 ") + row.status : ""));
@@ -88,7 +88,7 @@
   ServerLimits limits;
   limits.header_time = 0.4;
   Echo echo(limits);
-  RawPeer peer(echo.io, echo.server.local());
+  RawPeer peer(echo.io, echo.server.local_endpoint());
   std::string text = "GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + std::string(200, 'y') + "\r\n\r\n";
   std::size_t sent = 0;
   while (!peer.closed && sent < text.size()) {
@@ -107,22 +107,22 @@
   Echo echo(limits);
   std::vector<std::unique_ptr<RawPeer>> silent;
   for (int i = 0; i < 400; ++i) {
-    silent.push_back(std::make_unique<RawPeer>(echo.io, echo.server.local()));
+    silent.push_back(std::make_unique<RawPeer>(echo.io, echo.server.local_endpoint()));
     if (i % 16 == 0) run_for(echo.io, 0.005);
   }
   run_until(echo.io, [&] { return echo.server.counters().accepted == 400; });
   CHECK(echo.server.connections() <= 64);
-  RawPeer peer(echo.io, echo.server.local());
+  RawPeer peer(echo.io, echo.server.local_endpoint());
   peer.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(run_until(echo.io, [&] { return peer.count("200 OK") == 1; }));
 }
 
 TEST_CASE("out of descriptors on accept: those open go on, accepting comes back by itself") {
   Echo echo;
-  RawPeer before(echo.io, echo.server.local());
+  RawPeer before(echo.io, echo.server.local_endpoint());
   before.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return before.count("200 OK") == 1; }));
-  RawPeer waiting(echo.io, echo.server.local()); // in the backlog
+  RawPeer waiting(echo.io, echo.server.local_endpoint()); // in the backlog
   rlimit was{};
   getrlimit(RLIMIT_NOFILE, &was);
   int probe = dup(0);
@@ -142,10 +142,10 @@
 
 TEST_CASE("a peer that closes before its answer has left; a stream's reader that stops is cut") {
   ServerLimits limits;
-  limits.stream_bytes = 64 << 10;
+  limits.unsent_stream_bytes = 64 << 10;
   Echo echo(limits);
   {
-    RawPeer peer(echo.io, echo.server.local());
+    RawPeer peer(echo.io, echo.server.local_endpoint());
     peer.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
     REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 1; }));
     peer.socket.close();
@@ -153,7 +153,7 @@
   }
   CHECK(echo.gone == 1);
   asio::ip::tcp::socket reader(echo.io);
-  reader.connect(echo.server.local());
+  reader.connect(echo.server.local_endpoint());
   asio::write(reader, asio::buffer(std::string("GET /stream HTTP/1.1\r\nHost: a\r\n\r\n")));
   REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 2; }));
   bool open = true;
@@ -169,7 +169,7 @@
 
 TEST_CASE("draining answers what is in hand and closes the rest") {
   Echo echo;
-  RawPeer idle(echo.io, echo.server.local()), busy(echo.io, echo.server.local());
+  RawPeer idle(echo.io, echo.server.local_endpoint()), busy(echo.io, echo.server.local_endpoint());
   idle.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   busy.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return !echo.held.empty() && idle.count("200") == 1; }));
@@ -177,7 +177,7 @@
   echo.server.drain([&] { drained = true; });
   REQUIRE(run_until(echo.io, [&] { return idle.closed; }));
   CHECK(!drained);
-  echo.held[0]->answer({});
+  echo.held[0]->respond({});
   REQUIRE(run_until(echo.io, [&] { return drained; }));
   CHECK(run_until(echo.io, [&] { return busy.count("200 OK") == 1; }));
 }
@@ -187,10 +187,10 @@
   response.headers.add("Location", "/a\r\nSet-Cookie: b=1\r\n\r\n<html>");
   std::string text = write_response(response, true);
   CHECK(text.find("\r\nSet-Cookie") == std::string::npos);
-  CHECK(encode("a b/\r\n?%") == "a%20b%2F%0D%0A%3F%25");
-  CHECK(decode("a%20b%2F%0d%0A") == std::string("a b/\r\n"));
-  CHECK(!decode("%4"));
-  CHECK(!decode("%g0"));
+  CHECK(percent_encode("a b/\r\n?%") == "a%20b%2F%0D%0A%3F%25");
+  CHECK(percent_decode("a%20b%2F%0d%0A") == std::string("a b/\r\n"));
+  CHECK(!percent_decode("%4"));
+  CHECK(!percent_decode("%g0"));
 }
 
 TEST_CASE("a late answer is told apart and never taken for the next request's") {
@@ -199,17 +199,17 @@
   ClientLimits limits;
   limits.late_time = 2;
   Client client(io, limits);
-  std::vector<Ending> endings;
+  std::vector<EndReason> endings;
   std::vector<std::string> late, bodies;
   auto ask = [&](double time_out) {
     client.send(
         server.acceptor.local_endpoint(), get("/x"), time_out,
-        [&](const Result &r) { endings.push_back(r.ending), bodies.push_back(r.response.body); },
+        [&](const Result &r) { endings.push_back(r.end_reason), bodies.push_back(r.response.body); },
         [&](const Response &r) { late.push_back(r.body); });
   };
   ask(0.1);
   REQUIRE(run_until(io, [&] { return endings.size() == 1; }));
-  CHECK(endings[0] == Ending::timed_out);
+  CHECK(endings[0] == EndReason::timed_out);
   ask(2);
   REQUIRE(run_until(io, [&] { return server.links.size() == 2 && !server.links[1]->heard.empty(); }));
   RawServer::say(*server.links[0], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
@@ -226,14 +226,14 @@
 TEST_CASE("each way a request can end is told for what it proves") {
   struct Row {
     const char *says; // nullptr: nothing; "close", "reset"
-    Ending ending;
+    EndReason ending;
   };
-  for (Row row :
-       {Row{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Ending::answered},
-        Row{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", Ending::answered},
-        Row{"garbage\r\n\r\n", Ending::malformed}, Row{"close", Ending::reset}, Row{"reset", Ending::reset},
-        Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Ending::timed_out},
-        Row{nullptr, Ending::timed_out}}) {
+  for (Row row : {Row{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", EndReason::answered},
+                  Row{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", EndReason::answered},
+                  Row{"garbage\r\n\r\n", EndReason::malformed}, Row{"close", EndReason::reset},
+                  Row{"reset", EndReason::reset},
+                  Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", EndReason::timed_out},
+                  Row{nullptr, EndReason::timed_out}}) {
     CAPTURE(row.says ? row.says : "nothing");
     asio::io_context io;
     RawServer server(io);
@@ -245,9 +245,9 @@
       RawServer::say(link, says);
     };
     Client client(io, {});
-    std::vector<Ending> endings;
+    std::vector<EndReason> endings;
     client.send(server.acceptor.local_endpoint(), get("/"), 0.3,
-                [&](const Result &r) { endings.push_back(r.ending); });
+                [&](const Result &r) { endings.push_back(r.end_reason); });
     REQUIRE(run_until(io, [&] { return !endings.empty(); }));
     run_for(io, 0.05);
     REQUIRE(endings.size() == 1);
@@ -261,7 +261,8 @@
     nobody = gone.local_endpoint();
   }
   int unreachable = 0;
-  client.send(nobody, get("/"), 1, [&](const Result &r) { unreachable += r.ending == Ending::unreachable; });
+  client.send(nobody, get("/"), 1,
+              [&](const Result &r) { unreachable += r.end_reason == EndReason::unreachable; });
   CHECK(unreachable == 0); // never during send()
   CHECK(run_until(io, [&] { return unreachable == 1; }));
 }
@@ -269,22 +270,22 @@
 TEST_CASE("connections are bounded in number, cancel closes, a stream hands its data on") {
   Echo echo;
   ClientLimits limits;
-  limits.per_server = 2;
+  limits.connections_per_server = 2;
   Client client(echo.io, limits);
-  std::vector<Ending> endings;
-  auto note = [&](const Result &r) { endings.push_back(r.ending); };
-  auto first = client.send(echo.server.local(), get("/hold"), 5, note);
-  client.send(echo.server.local(), get("/hold"), 5, note);
-  client.send(echo.server.local(), get("/hold"), 5, note);
+  std::vector<EndReason> endings;
+  auto note = [&](const Result &r) { endings.push_back(r.end_reason); };
+  auto first = client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
+  client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
+  client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
   REQUIRE(run_until(echo.io, [&] { return endings.size() == 1 && echo.held.size() == 2; }));
-  CHECK(endings[0] == Ending::no_room);
+  CHECK(endings[0] == EndReason::no_capacity);
   CHECK(client.cancel(first));
   CHECK(!client.cancel(first));
   CHECK(run_until(echo.io, [&] { return echo.gone == 1; }));
   std::string data;
   int heads = 0;
   client.stream(
-      echo.server.local(), get("/stream"), 1, [&](const Response &) { ++heads; },
+      echo.server.local_endpoint(), get("/stream"), 1, [&](const Response &) { ++heads; },
       [&](std::string_view part) { data += part; }, note);
   REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 3 && heads == 1; }));
   echo.held[2]->write("one\n");
