--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -37,7 +37,7 @@
   follow();
 }
 
-http::Client::RequestId Channel::set_up(const serverwire::SetUp &set_up, double time_out,
+http::Client::RequestId Channel::set_up(const serverwire::SetUpRequest &set_up, double time_out,
                                         std::function<void(const SetUpResult &)> done) {
   auto alive = std::weak_ptr<bool>(alive_);
   auto answered = [this, alive, play = set_up.play, allocation = set_up.allocation,
@@ -84,7 +84,7 @@
 }
 
 void Channel::set_rung(const std::string &play, int rung) {
-  client_.send(address_, serverwire::write_rung(play, rung, ++step_), kEndTime, nullptr);
+  client_.send(address_, serverwire::write_set_rung(play, rung, ++step_), kEndTime, nullptr);
 }
 
 // Told up to three times: an end that is lost leaves a play on the server that nobody watches.
@@ -152,11 +152,11 @@
   asked_at_ = now_();
   auto alive = std::weak_ptr<bool>(alive_);
   stream_id_ = client_.stream(
-      address_, serverwire::write_reports(identity_.front, identity_.boot), times_.silence,
+      address_, serverwire::write_report_request(identity_.front, identity_.boot), times_.silence,
       [](const http::Response &) {},
       [this, alive](std::string_view data) {
         if (alive.expired() || stream_ == Stream::closed) return;
-        lines_.take(data, [&](std::string_view text) {
+        lines_.feed(data, [&](std::string_view text) {
           if (!alive.expired()) line(text);
         });
       },
@@ -166,7 +166,7 @@
 }
 
 void Channel::line(std::string_view text) {
-  auto report = serverwire::read_report(text);
+  auto report = serverwire::parse_report(text);
   if (!report) {
     if (events_.malformed) events_.malformed(server_);
     return;
@@ -176,11 +176,11 @@
   if (report->kind == serverwire::Report::Kind::hello) {
     become(Stream::open);
     pauses_.reset();
-    bool restarted = started_ > 0 && report->started != started_;
-    started_ = report->started;
+    bool restarted = started_ > 0 && report->started_at != started_;
+    started_ = report->started_at;
     return events_.hello(server_, *report, asked_at_, restarted);
   }
-  if (report->kind != serverwire::Report::Kind::beat) events_.report(server_, *report);
+  if (report->kind != serverwire::Report::Kind::heartbeat) events_.report(server_, *report);
 }
 
 void Channel::stream_ended(http::EndReason ending) {
--- a/src/edge/channel.h
+++ b/src/edge/channel.h
@@ -41,7 +41,7 @@
 
   void set_address(const http::Endpoint &address);
   const http::Endpoint &address() const { return address_; }
-  http::Client::RequestId set_up(const serverwire::SetUp &set_up, double time_out,
+  http::Client::RequestId set_up(const serverwire::SetUpRequest &set_up, double time_out,
                                  std::function<void(const SetUpResult &)> done);
   void set_rung(const std::string &play, int rung);
   void end(const std::string &play, int allocation, std::string_view reason, int tries = 3);
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -263,7 +263,7 @@
 
 void Edge::set_up(int index, const Allocation &allocation) {
   HeldPlay &play = core_.plays().at(index);
-  serverwire::SetUp set_up;
+  serverwire::SetUpRequest set_up;
   set_up.play = text_id(index);
   set_up.title = core_.title_of(index);
   set_up.product = record_.products[static_cast<std::size_t>(play.product)].name;
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -84,7 +84,7 @@
     hints::CmsdLoad load;
     load.link = load.uplink = 0.01;
     response.headers.add("CMSD-Dynamic", hints::write_cmsd("s" + std::to_string(s), load));
-    auto play = serverwire::play_of(request.path);
+    auto play = serverwire::parse_play_path(request.path);
     if (request.method == "POST" && play) {
       response.status = 201;
       held_.push_back({Clock::now(), s, *play});
@@ -93,7 +93,7 @@
     if (request.path.starts_with("/fronts/")) {
       exchange->open_stream(response);
       serverwire::Report hello;
-      hello.kind = serverwire::Report::Kind::hello, hello.started = 1;
+      hello.kind = serverwire::Report::Kind::hello, hello.started_at = 1;
       exchange->write(serverwire::write_report(hello));
       streams_[static_cast<std::size_t>(s)] = exchange;
       return;
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -99,14 +99,15 @@
   if (request.path.starts_with("/media/")) return on_media(request, exchange);
   if (!up_) return; // vanished: read by nobody
   try {
-    auto play = serverwire::play_of(request.path);
+    auto play = serverwire::parse_play_path(request.path);
     if (request.method == "POST" && play) return on_set_up(request, exchange);
     if (request.method == "GET" && request.path == "/load") {
       if (!mute()) exchange->respond(load_answer(200));
     } else if (request.method == "GET" && request.path.starts_with("/fronts/")) {
       on_reports(request, exchange);
     } else if (request.method == "PUT" && play) {
-      int rung = serverwire::whole_part(request, "rung"), step = serverwire::whole_part(request, "step");
+      int rung = serverwire::integer_parameter(request, "rung"),
+          step = serverwire::integer_parameter(request, "step");
       trace_.put("rung", {{"server", id_}, {"play", *play}, {"rung", rung}});
       if (mute()) return;
       auto it = plays_.find(*play);
@@ -119,7 +120,7 @@
       }
       exchange->respond(load_answer(it == plays_.end() ? 404 : 204));
     } else if (request.method == "DELETE" && play) {
-      std::string reason = serverwire::text_part(request, "reason");
+      std::string reason = serverwire::text_parameter(request, "reason");
       trace_.put("withdraw", {{"server", id_}, {"play", *play}, {"reason", reason}});
       if (mute()) return;
       withdrawn_[*play] = clock_.now();
@@ -149,7 +150,7 @@
 }
 
 void StandInServer::on_set_up(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
-  serverwire::SetUp s = serverwire::read_set_up(request);
+  serverwire::SetUpRequest s = serverwire::parse_set_up(request);
   trace_.put("set_up", {{"server", id_},
                         {"play", s.play},
                         {"title", s.title},
@@ -272,14 +273,14 @@
                                const std::shared_ptr<http::Exchange> &exchange) {
   Follower follower;
   follower.front = request.path.substr(8, request.path.size() - 8 - 8);
-  follower.boot = serverwire::text_part(request, "boot");
+  follower.boot = serverwire::text_parameter(request, "boot");
   follower.stream = exchange;
   if (mute()) return;
   // An earlier start of the same front is gone, and its plays with it.
   std::vector<std::string> over;
   serverwire::Report hello;
   hello.kind = serverwire::Report::Kind::hello;
-  hello.started = started_;
+  hello.started_at = started_;
   for (auto &[id, play] : plays_) {
     if (play.front != follower.front) continue;
     if (play.boot != follower.boot)
--- a/src/serverwire/protocol.cpp
+++ b/src/serverwire/protocol.cpp
@@ -25,12 +25,12 @@
 }
 
 constexpr std::pair<Report::Kind, const char *> kKinds[] = {
-    {Report::Kind::hello, "hello"}, {Report::Kind::beat, "beat"}, {Report::Kind::share, "share"},
-    {Report::Kind::load, "load"},   {Report::Kind::rung, "rung"}, {Report::Kind::end, "end"}};
+    {Report::Kind::hello, "hello"}, {Report::Kind::heartbeat, "beat"}, {Report::Kind::share, "share"},
+    {Report::Kind::load, "load"},   {Report::Kind::rung, "rung"},      {Report::Kind::end, "end"}};
 
 } // namespace
 
-http::Request write_set_up(const SetUp &s) {
+http::Request write_set_up(const SetUpRequest &s) {
   return request(
       "POST", "/plays/" + http::percent_encode(s.play) + "?title=" + http::percent_encode(s.title) +
                   "&product=" + http::percent_encode(s.product) + "&rung=" + std::to_string(s.rung) +
@@ -38,14 +38,14 @@
                   "&boot=" + http::percent_encode(s.boot) + "&expires_in=" + number_text(s.expires_in));
 }
 
-std::string text_part(const http::Request &request, std::string_view name) {
+std::string text_parameter(const http::Request &request, std::string_view name) {
   auto value = request.query_parameter(name);
   if (!value || value->empty()) throw std::invalid_argument("the part " + std::string(name) + " is missing");
   return *value;
 }
 
-double number_part(const http::Request &request, std::string_view name) {
-  std::string text = text_part(request, name);
+double number_parameter(const http::Request &request, std::string_view name) {
+  std::string text = text_parameter(request, name);
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
@@ -53,14 +53,14 @@
   return value;
 }
 
-int whole_part(const http::Request &request, std::string_view name) {
-  double value = number_part(request, name);
+int integer_parameter(const http::Request &request, std::string_view name) {
+  double value = number_parameter(request, name);
   if (value != std::floor(value) || value < 0 || value > 1e9)
     throw std::invalid_argument("the part " + std::string(name) + " is no small whole number");
   return static_cast<int>(value);
 }
 
-std::optional<std::string> play_of(std::string_view path) {
+std::optional<std::string> parse_play_path(std::string_view path) {
   constexpr std::string_view kPlays = "/plays/", kRung = "/rung";
   if (!path.starts_with(kPlays)) return std::nullopt;
   path.remove_prefix(kPlays.size());
@@ -69,22 +69,22 @@
   return std::string(path);
 }
 
-SetUp read_set_up(const http::Request &request) {
-  SetUp out;
-  auto play = play_of(request.path);
+SetUpRequest parse_set_up(const http::Request &request) {
+  SetUpRequest out;
+  auto play = parse_play_path(request.path);
   if (!play) throw std::invalid_argument("the path names no play");
   out.play = *play;
-  out.title = text_part(request, "title");
-  out.product = text_part(request, "product");
-  out.front = text_part(request, "front");
-  out.boot = text_part(request, "boot");
-  out.rung = whole_part(request, "rung");
-  out.allocation = whole_part(request, "allocation");
-  out.expires_in = number_part(request, "expires_in");
+  out.title = text_parameter(request, "title");
+  out.product = text_parameter(request, "product");
+  out.front = text_parameter(request, "front");
+  out.boot = text_parameter(request, "boot");
+  out.rung = integer_parameter(request, "rung");
+  out.allocation = integer_parameter(request, "allocation");
+  out.expires_in = number_parameter(request, "expires_in");
   return out;
 }
 
-http::Request write_rung(const std::string &play, int rung, std::uint64_t step) {
+http::Request write_set_rung(const std::string &play, int rung, std::uint64_t step) {
   return request("PUT", "/plays/" + http::percent_encode(play) + "/rung?rung=" + std::to_string(rung) +
                             "&step=" + std::to_string(step));
 }
@@ -96,7 +96,7 @@
 
 http::Request write_probe() { return request("GET", "/load"); }
 
-http::Request write_reports(const std::string &front, const std::string &boot) {
+http::Request write_report_request(const std::string &front, const std::string &boot) {
   return request("GET",
                  "/fronts/" + http::percent_encode(front) + "/reports?boot=" + http::percent_encode(boot));
 }
@@ -111,11 +111,11 @@
   if (report.link) line["link"] = *report.link;
   if (report.uplink) line["uplink"] = *report.uplink;
   if (report.kind == Report::Kind::end) line["reason"] = report.reason;
-  if (report.kind == Report::Kind::hello) line["started"] = report.started, line["plays"] = report.plays;
+  if (report.kind == Report::Kind::hello) line["started"] = report.started_at, line["plays"] = report.plays;
   return line.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-std::optional<Report> read_report(std::string_view text) {
+std::optional<Report> parse_report(std::string_view text) {
   Json line = Json::parse(text, nullptr, false);
   if (!line.is_object()) return std::nullopt;
   Report out;
@@ -134,7 +134,7 @@
   if (!known) return std::nullopt;
   if (auto play = line.find("play"); play != line.end() && play->is_string())
     out.play = play->get<std::string>();
-  bool of_play = out.kind != Report::Kind::hello && out.kind != Report::Kind::beat;
+  bool of_play = out.kind != Report::Kind::hello && out.kind != Report::Kind::heartbeat;
   if (of_play && out.play.empty()) return std::nullopt;
   out.link = number("link"), out.uplink = number("uplink");
   if (out.kind == Report::Kind::share || out.kind == Report::Kind::rung) {
@@ -148,7 +148,7 @@
     auto started = number("started");
     auto plays = line.find("plays");
     if (!started || plays == line.end() || !plays->is_array()) return std::nullopt;
-    out.started = *started;
+    out.started_at = *started;
     for (const Json &play : *plays) {
       if (!play.is_string()) return std::nullopt;
       out.plays.push_back(play.get<std::string>());
--- a/src/serverwire/protocol.h
+++ b/src/serverwire/protocol.h
@@ -17,46 +17,46 @@
 
 namespace snowshore::serverwire {
 
-struct SetUp {
+struct SetUpRequest {
   std::string play, title, product, front, boot;
   int rung = 0, allocation = 0;
   double expires_in = 0; // seconds; a server gives up a set-up that is not ready by then
 };
 
-http::Request write_set_up(const SetUp &set_up);
+http::Request write_set_up(const SetUpRequest &set_up);
 // Throws std::invalid_argument saying which part is missing or malformed.
-SetUp read_set_up(const http::Request &request);
-std::optional<std::string> play_of(std::string_view path); // of /plays/{play} and /plays/{play}/rung
+SetUpRequest parse_set_up(const http::Request &request);
+std::optional<std::string> parse_play_path(std::string_view path); // of /plays/{play} and /plays/{play}/rung
 
-http::Request write_rung(const std::string &play, int rung, std::uint64_t step);
+http::Request write_set_rung(const std::string &play, int rung, std::uint64_t step);
 http::Request write_end(const std::string &play, int allocation, std::string_view reason);
 http::Request write_probe();
-http::Request write_reports(const std::string &front, const std::string &boot);
+http::Request write_report_request(const std::string &front, const std::string &boot);
 
-int whole_part(const http::Request &request, std::string_view name);        // throws as read_set_up
-double number_part(const http::Request &request, std::string_view name);    // likewise
-std::string text_part(const http::Request &request, std::string_view name); // likewise
+int integer_parameter(const http::Request &request, std::string_view name);      // throws as parse_set_up
+double number_parameter(const http::Request &request, std::string_view name);    // likewise
+std::string text_parameter(const http::Request &request, std::string_view name); // likewise
 
 // One line of a report stream.
 struct Report {
-  enum class Kind { hello, beat, share, load, rung, end };
-  Kind kind = Kind::beat;
+  enum class Kind { hello, heartbeat, share, load, rung, end };
+  Kind kind = Kind::heartbeat;
   std::string play;
   double value = 0;                   // share: of their rates that plays here got; rung: in force
   std::optional<double> link, uplink; // load: asked over given
   std::string reason;                 // end: "done", "left", "withdrawn", "lost"
-  double started = 0;                 // hello: when the server's process started, epoch seconds
+  double started_at = 0;              // hello: when the server's process started, epoch seconds
   std::vector<std::string> plays;     // hello: what it holds for this front
 };
 
-std::string write_report(const Report &report);           // with its newline
-std::optional<Report> read_report(std::string_view line); // none: malformed, to be counted
+std::string write_report(const Report &report);            // with its newline
+std::optional<Report> parse_report(std::string_view line); // none: malformed, to be counted
 
 // Cuts a stream's data into lines; a line over the limit is dropped and counted.
 class LineSplitter {
  public:
   explicit LineSplitter(std::size_t longest = 1 << 20) : longest_(longest) {}
-  template <class F> void take(std::string_view data, F on_line) {
+  template <class F> void feed(std::string_view data, F on_line) {
     for (char c : data) {
       if (c != '\n') {
         if (rest_.size() < longest_)
--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -17,7 +17,7 @@
 
 struct FakeServer {
   struct Asked {
-    serverwire::SetUp set_up;
+    serverwire::SetUpRequest set_up;
     std::shared_ptr<http::Exchange> exchange;
   };
   std::vector<Asked> asked;
@@ -47,9 +47,9 @@
     return response;
   }
   void on(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
-    auto play = serverwire::play_of(request.path);
+    auto play = serverwire::parse_play_path(request.path);
     if (request.method == "POST") {
-      asked.push_back({serverwire::read_set_up(request), exchange});
+      asked.push_back({serverwire::parse_set_up(request), exchange});
       if (!answers || mute) return;
       holds.push_back(*play);
       exchange->respond(says(201));
@@ -57,7 +57,7 @@
       ended.push_back(*play);
       if (!mute) exchange->respond(says(204));
     } else if (request.method == "PUT") {
-      rungs.push_back(*play + " " + std::to_string(serverwire::whole_part(request, "rung")));
+      rungs.push_back(*play + " " + std::to_string(serverwire::integer_parameter(request, "rung")));
       exchange->respond(says(204));
     } else if (request.path == "/load") {
       ++probes;
@@ -65,7 +65,7 @@
     } else if (follows && !mute) {
       exchange->open_stream({});
       serverwire::Report hello;
-      hello.kind = serverwire::Report::Kind::hello, hello.started = started, hello.plays = holds;
+      hello.kind = serverwire::Report::Kind::hello, hello.started_at = started, hello.plays = holds;
       exchange->write(serverwire::write_report(hello));
       streams.push_back(exchange);
     }
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -40,10 +40,10 @@
   hints::read_cmcd(hints::write_cmcd(hints), back);
   if (back.malformed || back.top_kbps.has_value() != hints.top_kbps.has_value()) std::abort();
   hints::read_cmsd(text);
-  if (auto report = serverwire::read_report(text)) {
+  if (auto report = serverwire::parse_report(text)) {
     std::string line = serverwire::write_report(*report);
     line.pop_back();
-    auto again = serverwire::read_report(line);
+    auto again = serverwire::parse_report(line);
     if (!again || again->kind != report->kind || again->play != report->play) std::abort();
   }
   http::percent_decode(text);
