--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -119,7 +119,7 @@
 LoadReport Channel::load_of(const http::Response &response) {
   auto text = response.headers.find("CMSD-Dynamic");
   if (!text) return {};
-  hints::CmsdLoad load = hints::read_cmsd(*text);
+  hints::CmsdLoad load = hints::parse_cmsd(*text);
   if (load.malformed && events_.malformed) events_.malformed(server_);
   return load;
 }
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -149,21 +149,21 @@
     return refuse(400, "malformed", "time_left and length are seconds above 0");
   if (terms.time_left) terms.time_left = std::min(*terms.time_left, found->time_limit);
   hints::Cmcd hints;
-  if (auto text = request.query_parameter("CMCD")) hints::read_cmcd(*text, hints);
+  if (auto text = request.query_parameter("CMCD")) hints::parse_cmcd(*text, hints);
   for (std::string_view name : hints::kCmcdHeaders) {
-    if (auto text = request.headers.find(name)) hints::read_cmcd(*text, hints);
+    if (auto text = request.headers.find(name)) hints::parse_cmcd(*text, hints);
   }
   if (hints.malformed) {
     counters_->hints_malformed.Increment(hints.malformed);
     log_.debug("hints_malformed", {{"title", title}, {"keys", hints.malformed}});
   }
   if (hints.unknown) counters_->hints_unknown.Increment(hints.unknown);
-  terms.viewer = hash53(hints.session.value_or(peer));
+  terms.viewer = hash53(hints.session_id.value_or(peer));
   terms.best_rung = static_cast<int>(record_.rung_rates.size()) - 1;
   // tb is the highest bitrate that the player can use, in kbps; rates here are kB a second.
-  while (hints.top_kbps && terms.best_rung > 0 &&
+  while (hints.top_bitrate_kbps && terms.best_rung > 0 &&
          record_.rung_rates[static_cast<std::size_t>(terms.best_rung)] * found->rate_factor * 8 >
-             *hints.top_kbps)
+             *hints.top_bitrate_kbps)
     --terms.best_rung;
   terms.again = request.query_parameter("again") == "1";
   terms.moved = request.query_parameter("moved") == "1";
--- a/src/hints/hints.cpp
+++ b/src/hints/hints.cpp
@@ -45,25 +45,25 @@
 
 } // namespace
 
-void read_cmcd(std::string_view text, Cmcd &into) {
-  Parsed parsed = parse_dictionary(text);
+void parse_cmcd(std::string_view text, Cmcd &into) {
+  ParsedField parsed = parse_dictionary(text);
   into.malformed += parsed.malformed;
   for (const Member &member : parsed.members) {
     bool right = true;
     if (member.key == "sid") {
-      right = put_text(member.value, into.session);
+      right = put_text(member.value, into.session_id);
     } else if (member.key == "cid") {
-      right = put_text(member.value, into.content);
+      right = put_text(member.value, into.content_id);
     } else if (member.key == "mtp") {
-      right = put_number(member.value, into.measured_kbps);
+      right = put_number(member.value, into.measured_throughput_kbps);
     } else if (member.key == "tb") {
-      right = put_number(member.value, into.top_kbps);
+      right = put_number(member.value, into.top_bitrate_kbps);
     } else if (member.key == "bl") {
-      right = put_number(member.value, into.buffer_ms);
+      right = put_number(member.value, into.buffer_length_ms);
     } else if (member.key == "su") {
       right = put_flag(member.value, into.startup);
     } else if (member.key == "bs") {
-      right = put_flag(member.value, into.starved);
+      right = put_flag(member.value, into.buffer_starved);
     } else if (member.key == "st") {
       right = put_token(member.value, into.stream_type);
     } else if (member.key == "sf") {
@@ -84,20 +84,20 @@
     out += key;
     if (!std::holds_alternative<bool>(item)) out += '=' + write_item(item);
   };
-  if (hints.starved) put("bs", true);
-  if (hints.content) put("cid", *hints.content);
-  if (hints.measured_kbps) put("mtp", *hints.measured_kbps);
+  if (hints.buffer_starved) put("bs", true);
+  if (hints.content_id) put("cid", *hints.content_id);
+  if (hints.measured_throughput_kbps) put("mtp", *hints.measured_throughput_kbps);
   if (hints.streaming_format) put("sf", Token{*hints.streaming_format});
-  if (hints.session) put("sid", *hints.session);
+  if (hints.session_id) put("sid", *hints.session_id);
   if (hints.stream_type) put("st", Token{*hints.stream_type});
   if (hints.startup) put("su", true);
-  if (hints.top_kbps) put("tb", *hints.top_kbps);
+  if (hints.top_bitrate_kbps) put("tb", *hints.top_bitrate_kbps);
   return out;
 }
 
-CmsdLoad read_cmsd(std::string_view text) {
+CmsdLoad parse_cmsd(std::string_view text) {
   CmsdLoad load;
-  Parsed parsed = parse_list(text);
+  ParsedField parsed = parse_list(text);
   load.malformed = parsed.malformed;
   if (parsed.members.empty()) return load;
   for (const auto &[key, item] : parsed.members.back().parameters) {
--- a/src/hints/hints.h
+++ b/src/hints/hints.h
@@ -11,22 +11,22 @@
 namespace snowshore::hints {
 
 struct Cmcd {
-  std::optional<std::string> session;          // sid
-  std::optional<std::string> content;          // cid
-  std::optional<double> measured_kbps;         // mtp
-  std::optional<double> top_kbps;              // tb
-  std::optional<double> buffer_ms;             // bl
-  bool startup = false;                        // su
-  bool starved = false;                        // bs
-  std::optional<std::string> stream_type;      // st: v, l
-  std::optional<std::string> streaming_format; // sf
-  int malformed = 0, unknown = 0;              // keys passed over
+  std::optional<std::string> session_id;          // sid
+  std::optional<std::string> content_id;          // cid
+  std::optional<double> measured_throughput_kbps; // mtp
+  std::optional<double> top_bitrate_kbps;         // tb
+  std::optional<double> buffer_length_ms;         // bl
+  bool startup = false;                           // su
+  bool buffer_starved = false;                    // bs
+  std::optional<std::string> stream_type;         // st: v, l
+  std::optional<std::string> streaming_format;    // sf
+  int malformed = 0, unknown = 0;                 // keys passed over
 };
 
 constexpr std::string_view kCmcdHeaders[] = {"CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session"};
 
 // Adds what one header, or the decoded query argument, says.
-void read_cmcd(std::string_view text, Cmcd &into);
+void parse_cmcd(std::string_view text, Cmcd &into);
 std::string write_cmcd(const Cmcd &hints); // for the query argument, not encoded
 
 struct CmsdLoad : LoadReport {
@@ -35,7 +35,7 @@
 };
 
 // The last entry of a CMSD-Dynamic list is the nearest server's; later hops before it are passed over.
-CmsdLoad read_cmsd(std::string_view text);
+CmsdLoad parse_cmsd(std::string_view text);
 std::string write_cmsd(std::string_view server, const CmsdLoad &load);
 
 } // namespace snowshore::hints
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -138,8 +138,8 @@
   std::size_t at_ = 0;
 };
 
-Parsed parse(std::string_view text, bool with_keys) {
-  Parsed out;
+ParsedField parse(std::string_view text, bool with_keys) {
+  ParsedField out;
   Scanner scan(text);
   scan.spaces();
   while (!scan.done()) {
@@ -161,8 +161,8 @@
 
 } // namespace
 
-Parsed parse_dictionary(std::string_view text) { return parse(text, true); }
-Parsed parse_list(std::string_view text) { return parse(text, false); }
+ParsedField parse_dictionary(std::string_view text) { return parse(text, true); }
+ParsedField parse_list(std::string_view text) { return parse(text, false); }
 
 std::string write_item(const Item &item) {
   if (auto number = std::get_if<double>(&item)) {
--- a/src/hints/structured.h
+++ b/src/hints/structured.h
@@ -22,13 +22,13 @@
   std::vector<std::pair<std::string, Item>> parameters;
 };
 
-struct Parsed {
+struct ParsedField {
   std::vector<Member> members;
   int malformed = 0;
 };
 
-Parsed parse_dictionary(std::string_view text);
-Parsed parse_list(std::string_view text);
+ParsedField parse_dictionary(std::string_view text);
+ParsedField parse_list(std::string_view text);
 std::string write_item(const Item &item); // numbers with three decimals at most; bytes outside ASCII as '?'
 
 } // namespace snowshore::hints
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -71,9 +71,9 @@
   const site::ProductTerms &product = day_.terms.products[static_cast<std::size_t>(viewer->product)];
   std::uint64_t number = next_ask_++;
   hints::Cmcd hints;
-  hints.session = "viewer-" + std::to_string(viewer->number);
-  hints.content = "t" + std::to_string(viewer->title);
-  hints.top_kbps = viewer->top_kbps, hints.measured_kbps = viewer->top_kbps;
+  hints.session_id = "viewer-" + std::to_string(viewer->number);
+  hints.content_id = "t" + std::to_string(viewer->title);
+  hints.top_bitrate_kbps = viewer->top_kbps, hints.measured_throughput_kbps = viewer->top_kbps;
   hints.startup = true, hints.stream_type = "v", hints.streaming_format = "d";
   http::Request request;
   request.target = "/play/t" + std::to_string(viewer->title) + "?product=" + product.name;
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -35,11 +35,11 @@
     if (whole != statuses(text, text.size() / 2, kind)) std::abort();
   }
   hints::Cmcd hints;
-  hints::read_cmcd(text, hints);
+  hints::parse_cmcd(text, hints);
   hints::Cmcd back;
-  hints::read_cmcd(hints::write_cmcd(hints), back);
-  if (back.malformed || back.top_kbps.has_value() != hints.top_kbps.has_value()) std::abort();
-  hints::read_cmsd(text);
+  hints::parse_cmcd(hints::write_cmcd(hints), back);
+  if (back.malformed || back.top_bitrate_kbps.has_value() != hints.top_bitrate_kbps.has_value()) std::abort();
+  hints::parse_cmsd(text);
   if (auto report = serverwire::parse_report(text)) {
     std::string line = serverwire::write_report(*report);
     line.pop_back();
--- a/tests/hints/test_hints.cpp
+++ b/tests/hints/test_hints.cpp
@@ -22,35 +22,35 @@
         Row{"sid=5,su=\"yes\"", 2, 0, {}, {}}, Row{"\x01\xff", 1, 0, {}, {}}}) {
     CAPTURE(row.text);
     Cmcd hints;
-    read_cmcd(row.text, hints);
+    parse_cmcd(row.text, hints);
     CHECK(hints.malformed == row.malformed);
     CHECK(hints.unknown == row.unknown);
-    CHECK(hints.top_kbps == row.top);
-    CHECK(hints.session == row.session);
+    CHECK(hints.top_bitrate_kbps == row.top);
+    CHECK(hints.session_id == row.session);
   }
   Cmcd hints;
-  for (const char *part : {"tb=100", "sid=\"s\",sf=d", "st=v,su"}) read_cmcd(part, hints);
+  for (const char *part : {"tb=100", "sid=\"s\",sf=d", "st=v,su"}) parse_cmcd(part, hints);
   Cmcd back;
-  read_cmcd(write_cmcd(hints), back);
+  parse_cmcd(write_cmcd(hints), back);
   CHECK(back.startup);
   CHECK(back.streaming_format == "d");
-  CHECK(back.session == "s");
+  CHECK(back.session_id == "s");
   std::string flood;
   for (int i = 0; i < 100000; ++i) flood += "k" + std::to_string(i) + ",";
   Cmcd many;
-  read_cmcd(flood, many);
+  parse_cmcd(flood, many);
   CHECK(many.unknown + many.malformed >= 100000);
 }
 
 TEST_CASE("CMSD: load of the nearest server, round trip, nonsense passed over") {
   CmsdLoad load;
   load.link = 0.7254, load.streams = 12, load.duress = true;
-  CmsdLoad back = read_cmsd("\"far\";com.snowshore-link=9, " + write_cmsd("near \"1\"\r\n", load));
+  CmsdLoad back = parse_cmsd("\"far\";com.snowshore-link=9, " + write_cmsd("near \"1\"\r\n", load));
   CHECK(back.link == 0.725);
   CHECK(back.streams == 12);
   CHECK(back.duress);
   CHECK(!back.uplink);
-  CHECK(read_cmsd("\"s\";com.snowshore-link=full;com.snowshore-uplink=-1").malformed == 2);
-  CHECK(read_cmsd("\"s\";com.snowshore-link=0.5;;").malformed == 1);
-  CHECK(!read_cmsd("(").link);
+  CHECK(parse_cmsd("\"s\";com.snowshore-link=full;com.snowshore-uplink=-1").malformed == 2);
+  CHECK(parse_cmsd("\"s\";com.snowshore-link=0.5;;").malformed == 1);
+  CHECK(!parse_cmsd("(").link);
 }
