--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -103,7 +103,7 @@
   HandList *list;
   std::unique_ptr<edge::Edge> edge;
   std::vector<std::unique_ptr<FakeServer>> servers;
-  std::vector<std::unique_ptr<RawPeer>> players;
+  std::vector<std::unique_ptr<RawClient>> players;
   std::uint64_t version = 0;
 
   explicit EdgeScene(int count = 2, const std::string &more = "") {
@@ -149,13 +149,13 @@
   void run_for(double seconds) {
     until([] { return false; }, seconds);
   }
-  RawPeer &ask(const std::string &target = "/play/a", const std::string &more = "") {
-    players.push_back(std::make_unique<RawPeer>(io, edge->players()));
-    players.back()->say("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + more + "\r\n");
+  RawClient &ask(const std::string &target = "/play/a", const std::string &more = "") {
+    players.push_back(std::make_unique<RawClient>(io, edge->players()));
+    players.back()->send("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + more + "\r\n");
     return *players.back();
   }
-  static int status(const RawPeer &peer) {
-    return peer.heard.size() > 12 ? std::stoi(peer.heard.substr(9, 3)) : 0;
+  static int status(const RawClient &peer) {
+    return peer.received.size() > 12 ? std::stoi(peer.received.substr(9, 3)) : 0;
   }
   double metric(const std::string &name) {
     std::string text = edge->metrics_text();
--- a/tests/edge/test_edge.cpp
+++ b/tests/edge/test_edge.cpp
@@ -10,15 +10,15 @@
 
 TEST_CASE("a play is set up once, its player redirected, its end heard and nothing kept") {
   EdgeScene scene;
-  RawPeer &player = scene.ask("/play/a?CMCD=sid%3D%22x%22%2Ctb%3D3300%2C%3D%3D%2Cnew%3D1");
+  RawClient &player = scene.ask("/play/a?CMCD=sid%3D%22x%22%2Ctb%3D3300%2C%3D%3D%2Cnew%3D1");
   REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
   FakeServer &server = scene.server_asked();
   CHECK(scene.set_ups() == 1);
   CHECK(server.asked[0].set_up.rung == 2); // tb allows 3200 kbit/s
   CHECK(server.asked[0].set_up.expires_in > 0.1);
   std::string play = server.asked[0].set_up.play;
-  CHECK(player.heard.find("/media/" + play + "?title=a&rung=2") != std::string::npos);
-  CHECK(player.heard.find("Snowshore-Play: " + play) != std::string::npos);
+  CHECK(player.received.find("/media/" + play + "?title=a&rung=2") != std::string::npos);
+  CHECK(player.received.find("Snowshore-Play: " + play) != std::string::npos);
   CHECK(scene.metric("snowshore_hints_malformed_total") == 1);
   CHECK(scene.metric("snowshore_hints_unknown_total") == 1);
   REQUIRE(scene.until([&] { return !server.streams.empty(); }));
@@ -32,7 +32,7 @@
     "an answer that is lost and comes late: the next allocation plays, the first is ended, one outcome") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &player = scene.ask();
+  RawClient &player = scene.ask();
   REQUIRE(scene.until([&] { return scene.set_ups() == 2; }));
   auto &first = scene.servers[0]->asked.empty() || scene.servers[0]->asked[0].set_up.allocation
                     ? *scene.servers[1]
@@ -43,7 +43,7 @@
   CHECK(EdgeScene::status(player) == 0);
   second.asked[0].exchange->respond(FakeServer::says(201));
   REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
-  CHECK(player.heard.find(std::to_string(second.at.port())) != std::string::npos);
+  CHECK(player.received.find(std::to_string(second.at.port())) != std::string::npos);
   CHECK(
       scene.until([&] { return first.ended.size() >= 2; })); // at the time-out, and when it started after all
   CHECK(second.ended.empty());
@@ -64,7 +64,7 @@
     CAPTURE(row.product, row.how);
     EdgeScene scene;
     for (auto &server : scene.servers) server->answers = false;
-    RawPeer &player = scene.ask(std::string("/play/a?product=") + row.product);
+    RawClient &player = scene.ask(std::string("/play/a?product=") + row.product);
     REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
     FakeServer &server = scene.server_asked();
     std::string how = row.how;
@@ -91,7 +91,7 @@
     "a player that leaves: between allocation and answer its set-up is withdrawn, and nothing is kept") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &player = scene.ask();
+  RawClient &player = scene.ask();
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
   player.socket.close();
   FakeServer &server = scene.server_asked();
@@ -106,7 +106,7 @@
 TEST_CASE("drain news between set-up and answer: the play plays, nothing new goes there") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &player = scene.ask();
+  RawClient &player = scene.ask();
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
   FakeServer &server = scene.server_asked();
   bool is_first = &server == scene.servers[0].get();
@@ -123,7 +123,7 @@
 TEST_CASE(
     "a list replaced whole in a burst, an older one, and one out of reach: every play has its outcome") {
   EdgeScene scene(4);
-  std::vector<RawPeer *> players;
+  std::vector<RawClient *> players;
   for (int i = 0; i < 40; ++i) {
     players.push_back(&scene.ask(i % 2 ? "/play/a" : "/play/b"));
     if (i % 8 == 3) scene.publish();
@@ -133,7 +133,7 @@
   }
   CHECK(scene.until(
       [&] { return std::ranges::all_of(players, [](auto *p) { return EdgeScene::status(*p) != 0; }); }));
-  for (RawPeer *player : players) CHECK(player->count("HTTP/1.1 ") == 1);
+  for (RawClient *player : players) CHECK(player->count("HTTP/1.1 ") == 1);
   CHECK(scene.until([&] { return scene.list->asked > 0; })); // the module asks anew
 }
 
@@ -145,7 +145,7 @@
   for (Row row : {Row{false, true, 1}, Row{false, false, 0}, Row{true, false, 0}}) {
     CAPTURE(row.restarted, row.held);
     EdgeScene scene;
-    RawPeer &player = scene.ask();
+    RawClient &player = scene.ask();
     REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
     FakeServer &server = scene.server_asked();
     REQUIRE(scene.until([&] { return !server.streams.empty(); }));
@@ -166,7 +166,7 @@
   for (bool refused : {false, true}) {
     CAPTURE(refused);
     EdgeScene scene;
-    RawPeer &player = scene.ask();
+    RawClient &player = scene.ask();
     REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
     FakeServer &server = scene.server_asked();
     REQUIRE(scene.until([&] { return !server.streams.empty(); }));
@@ -184,7 +184,7 @@
     "a front that stood still finds everything at once: answers that lie there count, plays are not lost") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &playing = scene.ask();
+  RawClient &playing = scene.ask();
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
   FakeServer &server = scene.server_asked();
   server.holds.push_back(server.asked[0].set_up.play);
@@ -202,7 +202,7 @@
   CHECK(scene.metric("snowshore_lost_servers_total") == 0);
   // Asked for, then stood still past the time limit: one answer, at once.
   for (auto &other : scene.servers) other->answers = false;
-  RawPeer &late = scene.ask();
+  RawClient &late = scene.ask();
   REQUIRE(scene.until([&] { return scene.set_ups() == 2; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(1700));
   CHECK(scene.until([&] { return EdgeScene::status(late) != 0; }, 0.3));
@@ -220,15 +220,15 @@
                   Row{"/play/a?length=-1", "", 400}, Row{"/play/a", "Content-Length: 2\r\n\r\nhi", 400},
                   Row{"/play/%zz", "", 400}}) {
     CAPTURE(row.target);
-    RawPeer &peer = scene.ask(row.target, row.more);
+    RawClient &peer = scene.ask(row.target, row.more);
     CHECK(scene.until([&] { return EdgeScene::status(peer) == row.status; }));
   }
   CHECK(scene.set_ups() == 0);
   CHECK(scene.metric("snowshore_plays_taken_total") == 0);
   // A title that would split an answer plays, and splits none.
-  RawPeer &peer = scene.ask("/play/a%0d%0aSet-Cookie:%20x=1");
+  RawClient &peer = scene.ask("/play/a%0d%0aSet-Cookie:%20x=1");
   REQUIRE(scene.until([&] { return EdgeScene::status(peer) == 307; }));
-  CHECK(peer.heard.find("\r\nSet-Cookie") == std::string::npos);
+  CHECK(peer.received.find("\r\nSet-Cookie") == std::string::npos);
   CHECK(scene.server_asked().asked[0].set_up.title == "a\r\nSet-Cookie: x=1");
 }
 
@@ -237,29 +237,29 @@
   for (auto &server : scene.servers) server->answers = false;
   scene.ask("/play/a?product=live");
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
-  RawPeer &second = scene.ask("/play/a?product=live");
+  RawClient &second = scene.ask("/play/a?product=live");
   REQUIRE(scene.until([&] { return EdgeScene::status(second) == 503; }, 0.2));
-  CHECK(second.heard.find("Retry-After: 1\r\n") != std::string::npos);
-  CHECK(second.heard.find("Snowshore-Play: ") != std::string::npos);
-  RawPeer &hasty = scene.ask("/play/b?time_left=0.25");
+  CHECK(second.received.find("Retry-After: 1\r\n") != std::string::npos);
+  CHECK(second.received.find("Snowshore-Play: ") != std::string::npos);
+  RawClient &hasty = scene.ask("/play/b?time_left=0.25");
   CHECK(scene.until([&] { return EdgeScene::status(hasty) != 0; }, 0.45));
   EdgeScene full(2, "limits: open_plays: 1");
   for (auto &server : full.servers) server->answers = false;
   full.ask();
   REQUIRE(full.until([&] { return full.set_ups() == 1; }));
-  RawPeer &over = full.ask("/play/b");
+  RawClient &over = full.ask("/play/b");
   REQUIRE(full.until([&] { return EdgeScene::status(over) == 503; }));
-  CHECK(over.heard.find("Snowshore-Play") == std::string::npos);
+  CHECK(over.received.find("Snowshore-Play") == std::string::npos);
 }
 
 TEST_CASE("draining: nothing new is taken, what is in hand is answered, then it is done") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &player = scene.ask(), &kept = scene.ask("/play/none");
+  RawClient &player = scene.ask(), &kept = scene.ask("/play/none");
   REQUIRE(scene.until([&] { return scene.set_ups() == 1 && EdgeScene::status(kept) == 404; }));
   bool drained = false;
   scene.edge->drain([&] { drained = true; });
-  kept.say("GET /play/a HTTP/1.1\r\nHost: f\r\n\r\n");
+  kept.send("GET /play/a HTTP/1.1\r\nHost: f\r\n\r\n");
   CHECK(scene.until([&] { return kept.count("503 Service") == 1; }));
   CHECK(!drained);
   scene.server_asked().asked[0].exchange->respond(FakeServer::says(201));
@@ -403,7 +403,7 @@
 
 TEST_CASE("a record changed in service: limits under what is in use are refused and nothing changes") {
   EdgeScene scene;
-  RawPeer &one = scene.ask("/play/a?product=live"), &two = scene.ask("/play/b?product=clip");
+  RawClient &one = scene.ask("/play/a?product=live"), &two = scene.ask("/play/b?product=clip");
   REQUIRE(scene.until([&] { return scene.status(one) == 307 && scene.status(two) == 307; }));
   struct Row {
     std::string text, why;
@@ -434,27 +434,27 @@
       false);
   REQUIRE(port);
   CHECK(port->find("/front/listen/players") != std::string::npos);
-  RawPeer &three = scene.ask("/play/b?product=clip"); // all as before
+  RawClient &three = scene.ask("/play/b?product=clip"); // all as before
   CHECK(scene.until([&] { return scene.status(three) == 307; }));
   CHECK(scene.open() == 3);
 }
 
 TEST_CASE("a record changed in service: new plays meet the new values, plays in hand go on") {
   EdgeScene scene;
-  RawPeer &one = scene.ask("/play/a");
+  RawClient &one = scene.ask("/play/a");
   REQUIRE(scene.until([&] { return scene.status(one) == 307; }));
-  CHECK(one.heard.find("Snowshore-Rung: 3") != std::string::npos);
+  CHECK(one.received.find("Snowshore-Rung: 3") != std::string::npos);
   REQUIRE_FALSE(
       scene.edge->change(read_text(instead("name: \"paid\", first_frame_target: \"800ms\", time_limit: "
                                            "\"1500ms\", top: 3",
                                            "name: \"paid\", first_frame_target: \"800ms\", time_limit: "
                                            "\"1500ms\", top: 1")),
                          false));
-  RawPeer &two = scene.ask("/play/a?product=paid");
+  RawClient &two = scene.ask("/play/a?product=paid");
   REQUIRE(scene.until([&] { return scene.status(two) == 307; }));
-  CHECK(two.heard.find("Snowshore-Rung: 1") != std::string::npos);
+  CHECK(two.received.find("Snowshore-Rung: 1") != std::string::npos);
   REQUIRE_FALSE(scene.edge->change(with("take_plays: false"), false));
-  RawPeer &three = scene.ask("/play/a");
+  RawClient &three = scene.ask("/play/a");
   REQUIRE(scene.until([&] { return scene.status(three) == 503; }));
   CHECK(scene.edge->state().service == "draining");
   CHECK(scene.open() == 2);
@@ -463,7 +463,7 @@
 TEST_CASE("a record changed in service: the address moves, what was asked at the old one is answered there") {
   EdgeScene scene;
   for (auto &server : scene.servers) server->answers = false;
-  RawPeer &one = scene.ask("/play/a?product=paid");
+  RawClient &one = scene.ask("/play/a?product=paid");
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
   auto before = scene.edge->players();
   unsigned short port = asio::ip::tcp::acceptor(scene.io, loopback()).local_endpoint().port();
@@ -479,13 +479,13 @@
   late.connect(before, refused);
   CHECK(refused);
   for (auto &server : scene.servers) server->answers = true;
-  RawPeer &two = scene.ask("/play/a");
+  RawClient &two = scene.ask("/play/a");
   CHECK(scene.until([&] { return scene.status(two) == 307; }));
 }
 
 TEST_CASE("a record changed with the front drained: the module is made anew with the list in hand") {
   EdgeScene scene;
-  RawPeer &one = scene.ask("/play/a");
+  RawClient &one = scene.ask("/play/a");
   REQUIRE(scene.until([&] { return scene.status(one) == 307; }));
   std::string four =
       instead("rungs: [{rate: \"100kB/s\", importance: 0.2}, {rate: \"200kB/s\", importance: 0.5},\n"
@@ -499,9 +499,9 @@
   REQUIRE_FALSE(scene.edge->change(read_text(four), true));
   CHECK(scene.edge->state().list_version == 1);
   scene.run_for(0.25); // a module without memory holds servers to be cold
-  RawPeer &two = scene.ask("/play/a");
+  RawClient &two = scene.ask("/play/a");
   REQUIRE(scene.until([&] { return scene.status(two) == 307; }));
-  CHECK(two.heard.find("Snowshore-Rung: 1") != std::string::npos);
+  CHECK(two.received.find("Snowshore-Rung: 1") != std::string::npos);
   auto state = scene.edge->state();
   REQUIRE(state.servers.size() == 2);
   CHECK(state.servers[0].view.plays + state.servers[1].view.plays == 1);
--- a/tests/feed/test_feed.cpp
+++ b/tests/feed/test_feed.cpp
@@ -146,31 +146,35 @@
   };
   events.unavailable = [](const std::string &) {};
   client.start(std::move(events));
-  auto asked_with = [](RawServer &server, std::size_t link) { return server.links[link]->heard; };
-  REQUIRE(run_until(io, [&] { return channel.links.size() == 1 && channel.links[0]->heard.size() == 8; }));
+  auto asked_with = [](RawServer &server, std::size_t link) { return server.connections[link]->received; };
+  REQUIRE(run_until(
+      io, [&] { return channel.connections.size() == 1 && channel.connections[0]->received.size() == 8; }));
   CHECK(asked_with(channel, 0) == big(1, 8));
-  RawServer::say(*channel.links[0],
-                 frame(2, 2, record(1)) + frame(2, 2, record(1)) + frame(3, 2, record(2)).substr(0, 17));
+  RawServer::send(*channel.connections[0],
+                  frame(2, 2, record(1)) + frame(2, 2, record(1)) + frame(3, 2, record(2)).substr(0, 17));
   REQUIRE(run_until(io, [&] { return !lists.empty() && lists.back().version == 2; }));
-  channel.links[0]->socket.close(); // in the middle of an event
+  channel.connections[0]->socket.close(); // in the middle of an event
   REQUIRE(run_until(
-      io, [&] { return channel.links.size() == 2 && channel.links[1]->heard.size() == 8; }, 1.5));
+      io, [&] { return channel.connections.size() == 2 && channel.connections[1]->received.size() == 8; },
+      1.5));
   CHECK(asked_with(channel, 1) == big(2, 8));
   CHECK(client.counters().repeated == 1);
-  RawServer::say(*channel.links[1], frame(3, 2, record(2)));
+  RawServer::send(*channel.connections[1], frame(3, 2, record(2)));
   REQUIRE(run_until(io, [&] { return lists.back().version == 3; }));
   CHECK(servers.size() == 2);
   CHECK(lists.back().servers.size() == 1); // the change alone
   // It stays open and says nothing: asked again within the 4 s.
   REQUIRE(run_until(
-      io, [&] { return channel.links.size() == 3; }, 3.5));
+      io, [&] { return channel.connections.size() == 3; }, 3.5));
   CHECK(client.counters().silences == 1);
   client.move_to(other.acceptor.local_endpoint());
-  REQUIRE(run_until(io, [&] { return other.links.size() == 1 && other.links[0]->heard.size() == 8; }));
+  REQUIRE(run_until(
+      io, [&] { return other.connections.size() == 1 && other.connections[0]->received.size() == 8; }));
   CHECK(asked_with(other, 0) == big(3, 8));
-  RawServer::say(*other.links[0], frame(5, 2, record(3))); // one is missing: it asks anew from what it has
+  RawServer::send(*other.connections[0],
+                  frame(5, 2, record(3))); // one is missing: it asks anew from what it has
   REQUIRE(run_until(
-      io, [&] { return other.links.size() == 2 && other.links[1]->heard.size() == 8; }, 1.5));
+      io, [&] { return other.connections.size() == 2 && other.connections[1]->received.size() == 8; }, 1.5));
   CHECK(asked_with(other, 1) == big(3, 8));
   CHECK(lists.back().version == 3);
 }
--- a/tests/http/loop.h
+++ b/tests/http/loop.h
@@ -26,32 +26,32 @@
       io, [] { return false; }, seconds);
 }
 
-struct RawPeer { // a client's socket that the test writes to byte by byte
+struct RawClient { // a client's socket that the test writes to byte by byte
   asio::io_context &io;
   asio::ip::tcp::socket socket;
-  std::string heard;
+  std::string received;
   bool closed = false;
-  RawPeer(asio::io_context &context, const asio::ip::tcp::endpoint &to) : io(context), socket(context) {
+  RawClient(asio::io_context &context, const asio::ip::tcp::endpoint &to) : io(context), socket(context) {
     socket.connect(to);
-    listen();
+    read();
   }
-  void say(const std::string &text) {
+  void send(const std::string &text) {
     asio::error_code ignored;
     asio::write(socket, asio::buffer(text), ignored);
   }
-  void listen() {
+  void read() {
     socket.async_read_some(asio::buffer(buffer), [this](asio::error_code error, std::size_t n) {
-      heard.append(buffer, n);
+      received.append(buffer, n);
       if (error) {
         closed = true;
       } else {
-        listen();
+        read();
       }
     });
   }
   std::size_t count(const std::string &part) const {
     std::size_t n = 0;
-    for (std::size_t at = heard.find(part); at != std::string::npos; at = heard.find(part, at + 1)) ++n;
+    for (std::size_t at = received.find(part); at != std::string::npos; at = received.find(part, at + 1)) ++n;
     return n;
   }
   char buffer[4096];
@@ -59,34 +59,34 @@
 
 struct RawServer { // accepts, and hands what each connection says to the test
   asio::ip::tcp::acceptor acceptor;
-  struct Link {
+  struct Connection {
     asio::ip::tcp::socket socket;
-    std::string heard;
+    std::string received;
     char buffer[4096];
     bool closed = false;
   };
-  std::vector<std::shared_ptr<Link>> links;
-  std::function<void(Link &)> on_data;
+  std::vector<std::shared_ptr<Connection>> connections;
+  std::function<void(Connection &)> on_data;
   explicit RawServer(asio::io_context &io) : acceptor(io, loopback()) { accept(); }
   void accept() {
     acceptor.async_accept([this](asio::error_code error, asio::ip::tcp::socket socket) {
       if (error) return;
-      links.push_back(std::make_shared<Link>(Link{std::move(socket), {}, {}}));
-      read(links.back());
+      connections.push_back(std::make_shared<Connection>(Connection{std::move(socket), {}, {}}));
+      read(connections.back());
       accept();
     });
   }
-  void read(std::shared_ptr<Link> link) {
+  void read(std::shared_ptr<Connection> link) {
     link->socket.async_read_some(asio::buffer(link->buffer),
                                  [this, link](asio::error_code error, std::size_t n) {
-                                   link->heard.append(link->buffer, n);
+                                   link->received.append(link->buffer, n);
                                    link->closed = static_cast<bool>(error);
                                    if (error) return;
                                    if (on_data) on_data(*link);
                                    read(link);
                                  });
   }
-  static void say(Link &link, const std::string &text) {
+  static void send(Connection &link, const std::string &text) {
     asio::error_code ignored;
     asio::write(link.socket, asio::buffer(text), ignored);
   }
--- a/tests/http/test_http.cpp
+++ b/tests/http/test_http.cpp
@@ -45,17 +45,17 @@
 
 TEST_CASE("pipelined requests are answered in order, the second waits for the first") {
   Echo echo;
-  RawPeer peer(echo.io, echo.server.local_endpoint());
-  peer.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n");
+  RawClient peer(echo.io, echo.server.local_endpoint());
+  peer.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return !echo.held.empty(); }));
   run_for(echo.io, 0.05);
-  CHECK(peer.heard.empty());
+  CHECK(peer.received.empty());
   Response first;
   first.body = "first";
   echo.held[0]->respond(first);
   echo.held[0]->respond(first); // a second answer is none
-  REQUIRE(run_until(echo.io, [&] { return peer.heard.find("/b") != std::string::npos; }));
-  CHECK(peer.heard.find("first") < peer.heard.find("X-Path: /b"));
+  REQUIRE(run_until(echo.io, [&] { return peer.received.find("/b") != std::string::npos; }));
+  CHECK(peer.received.find("first") < peer.received.find("X-Path: /b"));
   CHECK(peer.count("HTTP/1.1 200") == 2);
 }
 
@@ -76,10 +76,10 @@
                          Row{"GET / HTTP/1.1\r\nHos", "408"}, Row{"", ""}}) {
     CAPTURE(row.text.substr(0, 60));
     Echo echo(limits);
-    RawPeer peer(echo.io, echo.server.local_endpoint());
-    peer.say(row.text);
+    RawClient peer(echo.io, echo.server.local_endpoint());
+    peer.send(row.text);
     REQUIRE(run_until(echo.io, [&] { return peer.closed; }));
-    CHECK(peer.heard.substr(0, 12) == (*row.status ? std::string("HTTP/1.1 ") + row.status : ""));
+    CHECK(peer.received.substr(0, 12) == (*row.status ? std::string("HTTP/1.1 ") + row.status : ""));
     CHECK(echo.server.connections() == 0);
   }
 }
@@ -88,11 +88,11 @@
   ServerLimits limits;
   limits.header_time = 0.4;
   Echo echo(limits);
-  RawPeer peer(echo.io, echo.server.local_endpoint());
+  RawClient peer(echo.io, echo.server.local_endpoint());
   std::string text = "GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + std::string(200, 'y') + "\r\n\r\n";
   std::size_t sent = 0;
   while (!peer.closed && sent < text.size()) {
-    peer.say(text.substr(sent++, 1));
+    peer.send(text.substr(sent++, 1));
     run_for(echo.io, 0.02);
   }
   CHECK(peer.closed);
@@ -105,24 +105,24 @@
   limits.connections = 64;
   limits.header_time = 30;
   Echo echo(limits);
-  std::vector<std::unique_ptr<RawPeer>> silent;
+  std::vector<std::unique_ptr<RawClient>> silent;
   for (int i = 0; i < 400; ++i) {
-    silent.push_back(std::make_unique<RawPeer>(echo.io, echo.server.local_endpoint()));
+    silent.push_back(std::make_unique<RawClient>(echo.io, echo.server.local_endpoint()));
     if (i % 16 == 0) run_for(echo.io, 0.005);
   }
   run_until(echo.io, [&] { return echo.server.counters().accepted == 400; });
   CHECK(echo.server.connections() <= 64);
-  RawPeer peer(echo.io, echo.server.local_endpoint());
-  peer.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
+  RawClient peer(echo.io, echo.server.local_endpoint());
+  peer.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(run_until(echo.io, [&] { return peer.count("200 OK") == 1; }));
 }
 
 TEST_CASE("out of descriptors on accept: those open go on, accepting comes back by itself") {
   Echo echo;
-  RawPeer before(echo.io, echo.server.local_endpoint());
-  before.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
+  RawClient before(echo.io, echo.server.local_endpoint());
+  before.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return before.count("200 OK") == 1; }));
-  RawPeer waiting(echo.io, echo.server.local_endpoint()); // in the backlog
+  RawClient waiting(echo.io, echo.server.local_endpoint()); // in the backlog
   rlimit was{};
   getrlimit(RLIMIT_NOFILE, &was);
   int probe = dup(0);
@@ -131,12 +131,12 @@
   setrlimit(RLIMIT_NOFILE, &none);
   run_for(echo.io, 0.15);
   auto faults = echo.server.counters().accept_faults;
-  before.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
+  before.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   bool served = run_until(echo.io, [&] { return before.count("200 OK") == 2; });
   setrlimit(RLIMIT_NOFILE, &was);
   CHECK(faults > 0);
   CHECK(served);
-  waiting.say("GET /b HTTP/1.1\r\nHost: a\r\n\r\n");
+  waiting.send("GET /b HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(run_until(echo.io, [&] { return waiting.count("200 OK") == 1; }));
 }
 
@@ -145,8 +145,8 @@
   limits.unsent_stream_bytes = 64 << 10;
   Echo echo(limits);
   {
-    RawPeer peer(echo.io, echo.server.local_endpoint());
-    peer.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
+    RawClient peer(echo.io, echo.server.local_endpoint());
+    peer.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
     REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 1; }));
     peer.socket.close();
     run_until(echo.io, [&] { return echo.gone == 1 && peer.closed; });
@@ -169,9 +169,9 @@
 
 TEST_CASE("draining answers what is in hand and closes the rest") {
   Echo echo;
-  RawPeer idle(echo.io, echo.server.local_endpoint()), busy(echo.io, echo.server.local_endpoint());
-  idle.say("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
-  busy.say("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
+  RawClient idle(echo.io, echo.server.local_endpoint()), busy(echo.io, echo.server.local_endpoint());
+  idle.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
+  busy.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return !echo.held.empty() && idle.count("200") == 1; }));
   bool drained = false;
   echo.server.drain([&] { drained = true; });
@@ -211,11 +211,12 @@
   REQUIRE(run_until(io, [&] { return endings.size() == 1; }));
   CHECK(endings[0] == EndReason::timed_out);
   ask(2);
-  REQUIRE(run_until(io, [&] { return server.links.size() == 2 && !server.links[1]->heard.empty(); }));
-  RawServer::say(*server.links[0], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+  REQUIRE(run_until(
+      io, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
+  RawServer::send(*server.connections[0], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
   REQUIRE(run_until(io, [&] { return late.size() == 1; }));
   CHECK(endings.size() == 1);
-  RawServer::say(*server.links[1], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
+  RawServer::send(*server.connections[1], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
   REQUIRE(run_until(io, [&] { return endings.size() == 2; }));
   CHECK(bodies[1] == "new");
   CHECK(late[0] == "old");
@@ -237,12 +238,12 @@
     CAPTURE(row.says ? row.says : "nothing");
     asio::io_context io;
     RawServer server(io);
-    server.on_data = [&](RawServer::Link &link) {
+    server.on_data = [&](RawServer::Connection &link) {
       if (!row.says) return;
       std::string says = row.says;
       if (says == "reset") link.socket.set_option(asio::socket_base::linger(true, 0));
       if (says == "reset" || says == "close") return link.socket.close();
-      RawServer::say(link, says);
+      RawServer::send(link, says);
     };
     Client client(io, {});
     std::vector<EndReason> endings;
--- a/tests/jsonlines/test_jsonlines.cpp
+++ b/tests/jsonlines/test_jsonlines.cpp
@@ -100,10 +100,10 @@
   jsonlines::Limits limits;
   limits.first_line_timeout = 0.3;
   Lines scene(limits);
-  RawPeer silent(scene.io, scene.server->local_endpoint()), half(scene.io, scene.server->local_endpoint()),
+  RawClient silent(scene.io, scene.server->local_endpoint()), half(scene.io, scene.server->local_endpoint()),
       good(scene.io, scene.server->local_endpoint());
-  half.say("{\"verb\":");
-  good.say("{}\n");
+  half.send("{\"verb\":");
+  good.send("{}\n");
   REQUIRE(run_until(
       scene.io, [&] { return silent.closed && half.closed; }, 2));
   run_for(scene.io, 0.3);
@@ -116,14 +116,14 @@
   jsonlines::Limits limits;
   limits.connections = 8;
   Lines scene(limits);
-  RawPeer held(scene.io, scene.server->local_endpoint());
-  held.say("{}\n");
+  RawClient held(scene.io, scene.server->local_endpoint());
+  held.send("{}\n");
   REQUIRE(run_until(scene.io, [&] { return scene.lines.size() == 1; }));
   scene.server->add_open_requests(scene.lines[0].first, 1);
-  std::vector<std::unique_ptr<RawPeer>> crowd;
+  std::vector<std::unique_ptr<RawClient>> crowd;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local_endpoint()));
-    crowd.back()->say("{}\n");
+    crowd.push_back(std::make_unique<RawClient>(scene.io, scene.server->local_endpoint()));
+    crowd.back()->send("{}\n");
   }
   CHECK(run_until(
       scene.io, [&] { return scene.lines.size() == 61; }, 4));
@@ -136,8 +136,8 @@
   jsonlines::Limits limits;
   limits.unsent_bytes = 4096;
   Lines scene(limits);
-  RawPeer endless(scene.io, scene.server->local_endpoint());
-  endless.say(std::string(20000, 'x'));
+  RawClient endless(scene.io, scene.server->local_endpoint());
+  endless.send(std::string(20000, 'x'));
   CHECK(run_until(
       scene.io, [&] { return endless.closed; }, 2));
   asio::ip::tcp::socket deaf(scene.io);
@@ -159,14 +159,14 @@
   jsonlines::Limits limits;
   limits.connections = 4;
   Lines scene(limits);
-  RawPeer good(scene.io, scene.server->local_endpoint());
-  good.say("{}\n");
+  RawClient good(scene.io, scene.server->local_endpoint());
+  good.send("{}\n");
   REQUIRE(run_until(scene.io, [&] { return scene.lines.size() == 1; }));
   scene.server->mark_trusted(scene.lines[0].first);
   run_for(scene.io, 0.1);
-  std::vector<std::unique_ptr<RawPeer>> crowd;
+  std::vector<std::unique_ptr<RawClient>> crowd;
   for (int i = 0; i < 12; ++i)
-    crowd.push_back(std::make_unique<RawPeer>(scene.io, scene.server->local_endpoint()));
+    crowd.push_back(std::make_unique<RawClient>(scene.io, scene.server->local_endpoint()));
   REQUIRE(run_until(
       scene.io, [&] { return scene.server->counters().accepted == 13; }, 2));
   CHECK(scene.server->counters().room_cut >= 9);
--- a/tests/platform/scene.h
+++ b/tests/platform/scene.h
@@ -11,7 +11,7 @@
 
 struct StandIn { // one server: answers set-ups by a script
   struct Asked {
-    RawServer::Link *link;
+    RawServer::Connection *link;
     std::string session, title;
     int rung;
     bool operator==(const Asked &) const = default;
@@ -21,10 +21,10 @@
   std::vector<std::string> torn, rungs; // sessions
   std::vector<std::string> tiers;       // of set-ups
   std::string how = "play";             // or what the case says
-  std::map<RawServer::Link *, rtsp::MessageReader> readers;
+  std::map<RawServer::Connection *, rtsp::MessageReader> readers;
   explicit StandIn(asio::io_context &io) : server(io) {
-    server.on_data = [this](RawServer::Link &link) {
-      std::string heard = std::exchange(link.heard, {});
+    server.on_data = [this](RawServer::Connection &link) {
+      std::string heard = std::exchange(link.received, {});
       readers[&link].feed(heard, [&](const rtsp::Message &message) { on(link, message); });
     };
   }
@@ -45,7 +45,7 @@
     for (auto &[name, value] : headers) message.add_header(name, value);
     return rtsp::write_message(message);
   }
-  void on(RawServer::Link &link, const rtsp::Message &message) {
+  void on(RawServer::Connection &link, const rtsp::Message &message) {
     std::string session(message.find_header("Session").value_or(""));
     if (message.method == "SETUP") {
       asked.push_back({&link, session, message.uri.substr(13),
@@ -58,7 +58,7 @@
       link.socket.close();
     } else if (message.method == "TEARDOWN") {
       torn.push_back(session);
-      if (how == "cross") RawServer::say(link, answer(session, 200, "late"));
+      if (how == "cross") RawServer::send(link, answer(session, 200, "late"));
     } else if (message.method == "SET_PARAMETER") {
       rungs.push_back(session);
     } else if (message.method == "OPTIONS") {
@@ -66,11 +66,11 @@
       back.status = 200;
       back.add_header("CSeq", "3"), back.add_header("Session", session),
           back.add_header("X-Gauges", "cpu:0.2;x1:0.2");
-      RawServer::say(link, rtsp::write_message(back));
+      RawServer::send(link, rtsp::write_message(back));
     }
   }
-  void act(RawServer::Link &link, const std::string &session) {
-    auto say = [&](const std::string &text) { RawServer::say(link, text); };
+  void act(RawServer::Connection &link, const std::string &session) {
+    auto say = [&](const std::string &text) { RawServer::send(link, text); };
     if (how == "play") say(answer(session, 200, "of " + session));
     if (how == "full") say(answer(session, 453));
     if (how == "error") say(answer(session, 500));
@@ -92,7 +92,7 @@
   std::vector<std::unique_ptr<StandIn>> servers;
   RawServer channel{io};
   std::unique_ptr<platform::PlatformFront> front;
-  std::vector<std::unique_ptr<RawPeer>> viewers;
+  std::vector<std::unique_ptr<RawClient>> viewers;
   nlohmann::json config;
   unsigned tags = 0;
 
@@ -137,7 +137,7 @@
                                std::uint64_t started = 0) {
     return {id, at.server.acceptor.local_endpoint().port(), state, 0, 0, 0, started};
   }
-  void tell(const std::string &frame) { RawServer::say(*channel.links[0], frame); }
+  void tell(const std::string &frame) { RawServer::send(*channel.connections[0], frame); }
   bool until(const std::function<bool()> &holds, double seconds = 4) {
     auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
     while (!holds() && std::chrono::steady_clock::now() < end) {
@@ -150,8 +150,8 @@
   void run(double seconds) {
     until([] { return false; }, seconds);
   }
-  RawPeer &viewer() {
-    viewers.push_back(std::make_unique<RawPeer>(io, front->viewers().local()));
+  RawClient &viewer() {
+    viewers.push_back(std::make_unique<RawClient>(io, front->viewers().local()));
     return *viewers.back();
   }
   std::string next_tag() { return jsonlines::write_hex16(0xabc00000 + ++tags); }
@@ -164,8 +164,8 @@
   static std::string finish(const std::string &tag) {
     return R"({"verb":"FINISH","tag":")" + tag + R"(","opts":{},"rc":16})" + "\n";
   }
-  static bool said(const RawPeer &peer, const std::string &verb, const std::string &tag) {
-    return peer.heard.find(R"({"verb":")" + verb + R"(","tag":")" + tag + "\"") != std::string::npos;
+  static bool said(const RawClient &peer, const std::string &verb, const std::string &tag) {
+    return peer.received.find(R"({"verb":")" + verb + R"(","tag":")" + tag + "\"") != std::string::npos;
   }
   std::size_t set_ups() const {
     std::size_t n = 0;
@@ -180,9 +180,9 @@
   }
   std::size_t open() { return front->core().plays().open(); }
   // One play that stands: its server and session.
-  std::pair<StandIn *, std::string> standing(RawPeer &peer) {
+  std::pair<StandIn *, std::string> standing(RawClient &peer) {
     std::string tag = next_tag();
-    peer.say(start(tag));
+    peer.send(start(tag));
     if (!until([&] { return said(peer, "STARTED", tag); })) throw std::runtime_error("it does not play");
     for (auto &server : servers) {
       if (!server->asked.empty() && server->asked.back().session == tag) return {server.get(), tag};
--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -136,7 +136,7 @@
   config["settings"]["family_info"]["link_unit_kb"] = 400000;
   restart(scene, config);
   std::size_t room = platform::share_out(32, 48).viewers;
-  std::vector<RawPeer *> held;
+  std::vector<RawClient *> held;
   for (std::size_t i = 0; i < room; ++i) { // every place is taken by an open request
     held.push_back(&scene.viewer());
     held.back()->say(PlatformScene::start(scene.next_tag()));
@@ -145,24 +145,24 @@
   bool done = false;
   scene.front->drain([&] { done = true; });
   scene.run(0.65);
-  RawPeer &waiting = scene.viewer(); // in the listener's backlog
+  RawClient &waiting = scene.viewer(); // in the listener's backlog
   std::string tag = scene.next_tag();
-  waiting.say(PlatformScene::start(tag));
+  waiting.send(PlatformScene::start(tag));
   CHECK(scene.until([&] { return PlatformScene::said(waiting, "FINISH", tag); }, 2));
   CHECK(scene.until([&] { return done; }, 2));
 }
 
 TEST_CASE("drain: a request in pieces across the last moment of taking is answered") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   bool done = false;
   scene.front->drain([&] { done = true; });
   scene.run(0.6);
   std::string tag = scene.next_tag(), line = PlatformScene::start(tag);
-  viewer.say(line.substr(0, 40));
+  viewer.send(line.substr(0, 40));
   scene.run(0.25); // nothing is taken as a play any more
   CHECK_FALSE(done);
-  viewer.say(line.substr(40));
+  viewer.send(line.substr(40));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 0.5));
   CHECK(scene.until([&] { return done; }, 0.5));
 }
@@ -202,7 +202,7 @@
     change(next);
     bool is = scene.front->change(platform::read_boot(next.dump())).has_value();
     scene.run(0.1);
-    return is && moved.links.empty(); // nothing of it is in force
+    return is && moved.connections.empty(); // nothing of it is in force
   };
   CHECK(
       refused([](auto &next) { std::swap(next["settings"]["classes"][0], next["settings"]["classes"][1]); }));
@@ -218,36 +218,36 @@
   next["settings"]["classes"][0]["deadline"] = 2.4;
   next["settings"]["limits"]["max_retry_after"] = 0.9;
   REQUIRE_FALSE(scene.front->change(platform::read_boot(next.dump())).has_value());
-  CHECK(scene.until([&] { return moved.links.size() == 1; }, 1));
-  RawPeer &viewer = scene.viewer();
+  CHECK(scene.until([&] { return moved.connections.size() == 1; }, 1));
+  RawClient &viewer = scene.viewer();
   std::string longer = scene.next_tag();
-  viewer.say(PlatformScene::start(longer, "", "7f3a9c21e0b4d655", "2400"));
+  viewer.send(PlatformScene::start(longer, "", "7f3a9c21e0b4d655", "2400"));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "STARTED", longer); }, 1));
   scene.front->viewers().shut();
   std::string tag = scene.next_tag();
-  viewer.say(PlatformScene::start(tag));
-  CHECK(
-      scene.until([&] { return viewer.heard.find("\"wait\":\"900\"},\"rc\":34") != std::string::npos; }, 1));
+  viewer.send(PlatformScene::start(tag));
+  CHECK(scene.until([&] { return viewer.received.find("\"wait\":\"900\"},\"rc\":34") != std::string::npos; },
+                    1));
 }
 
 TEST_CASE("a bad line on a good connection does not cost its plays their answers; the connection then goes") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   scene.standing(viewer); // a good connection
   scene.servers[0]->how = "silent";
   std::string tag = scene.next_tag(), after = scene.next_tag();
-  viewer.say(PlatformScene::start(tag));
+  viewer.send(PlatformScene::start(tag));
   REQUIRE(scene.until([&] { return scene.set_ups() == 2; }));
-  viewer.say("no JSON\n" + PlatformScene::start(after));
+  viewer.send("no JSON\n" + PlatformScene::start(after));
   REQUIRE(
       scene.until([&] { return PlatformScene::said(viewer, "FINISH", after); }, 1)); // nothing new is taken
   StandIn::Asked asked = scene.servers[0]->asked.back();
   CHECK(scene.servers[0]->torn.empty());
-  RawServer::say(*asked.link, StandIn::answer(tag, 200, "of " + tag));
+  RawServer::send(*asked.link, StandIn::answer(tag, 200, "of " + tag));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "STARTED", tag); }, 1));
   CHECK(scene.until([&] { return viewer.closed; }, 1));
-  RawPeer &bad = scene.viewer(); // one that no play vouches for is cut, and what it asked for withdrawn
-  bad.say(PlatformScene::start(scene.next_tag()) + "no JSON\n");
+  RawClient &bad = scene.viewer(); // one that no play vouches for is cut, and what it asked for withdrawn
+  bad.send(PlatformScene::start(scene.next_tag()) + "no JSON\n");
   CHECK(scene.until([&] { return bad.closed; }, 1));
   CHECK(bad.count("STARTED") == 0);
 }
@@ -280,7 +280,7 @@
   quiet.say("b\n");
   REQUIRE(run_until(io, [&] { return ids.size() == 2; }));
   run_for(io, 0.1); // both settled
-  RawPeer third(io, server.local_endpoint());
+  RawClient third(io, server.local_endpoint());
   std::this_thread::sleep_for(std::chrono::milliseconds(1)); // it is in the backlog
   quiet.say("c\n"); // unread when room is wanted: the loop has not run since
   run_for(io, 0.04);
@@ -289,7 +289,7 @@
   CHECK(server.connections() == 2);
   CHECK(run_until(
       io, [&] { return server.counters().room_cut == 1; }, 1)); // the quiet one, settled again
-  third.say("d\n");
+  third.send("d\n");
   CHECK(run_until(
       io, [&] { return lines.back() == "d"; }, 1));
   CHECK(server.unsent_bytes() > 0); // the slow one is still there
@@ -299,13 +299,13 @@
   for (int cause : {16, 41, 31}) {
     CAPTURE(cause);
     PlatformScene scene(1);
-    RawPeer &viewer = scene.viewer();
+    RawClient &viewer = scene.viewer();
     scene.standing(viewer);
     std::string tag = scene.next_tag();
-    RawServer::say(*scene.servers[0]->asked[0].link,
-                   StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=" + std::to_string(cause)}}));
+    RawServer::send(*scene.servers[0]->asked[0].link,
+                    StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=" + std::to_string(cause)}}));
     REQUIRE(scene.until([&] { return scene.front->servers().counters().strangers == 1; }));
-    viewer.say(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
+    viewer.send(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
     REQUIRE(scene.until([&] { return scene.front->viewers().counters().handed_over == 1; }));
     CHECK(scene.until([&] { return scene.open() == 1; }, 1));
     scene.run(0.05);
@@ -315,11 +315,11 @@
 
 TEST_CASE("a play's end that its server may not have heard is said again on another connection") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   StandIn &at = *server;
   at.how = "deaf"; // the connection is reset as the end comes, and the server has not heard it
-  viewer.say(PlatformScene::finish(tag));
+  viewer.send(PlatformScene::finish(tag));
   REQUIRE(scene.until([&] { return scene.open() == 0 && at.how == "play"; }, 1));
   CHECK(at.torn.empty());
   CHECK(scene.until([&] { return at.torn == std::vector<std::string>{tag}; }, 3));
@@ -397,15 +397,15 @@
   for (auto &target : config["known"]["cmds"][0]["nodes"]["targets"])
     target["az"] = "north, high hall", target["model"] = "tall tower, old";
   restart(scene, config);
-  REQUIRE(scene.until([&] { return !scene.channel.links.empty(); }));
-  RawServer::say(*scene.channel.links.back(),
-                 frame(2, 2, record(scene.written(1, *scene.servers[0], 0)))); // zone 0, kind 0, by place
+  REQUIRE(scene.until([&] { return !scene.channel.connections.empty(); }));
+  RawServer::send(*scene.channel.connections.back(),
+                  frame(2, 2, record(scene.written(1, *scene.servers[0], 0)))); // zone 0, kind 0, by place
   scene.run(0.05);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   std::string tag = scene.next_tag(), line = PlatformScene::start(tag);
   std::string own = "\"class\":\"clip\"", other = "\"class\":\"Foyer-Übersicht, large screen\"";
   line.replace(line.find(own), own.size(), other);
-  viewer.say(line);
+  viewer.send(line);
   REQUIRE(scene.until([&] { return PlatformScene::said(viewer, "STARTED", tag); }, 1));
   CHECK(scene.asked().tiers == std::vector<std::string>{"Foyer-Übersicht, large screen"});
   CHECK(scene.front->core().terms().halls[0] == "north, high hall");
@@ -454,11 +454,11 @@
   PlatformScene scene(2, GENERATE("safe", "unsafe"),
                       [](nlohmann::json &config) { config["settings"]["classes"][0]["deadline"] = 10; });
   for (auto &server : scene.servers) server->how = "hang";
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   std::vector<std::string> tags;
   auto ask = [&] {
     tags.push_back(scene.next_tag());
-    peer.say(PlatformScene::start(tags.back(), "", "7f3a9c21e0b4d655", "10000"));
+    peer.send(PlatformScene::start(tags.back(), "", "7f3a9c21e0b4d655", "10000"));
   };
   ask();
   REQUIRE(scene.until([&] { return scene.set_ups() > 0; }));
@@ -476,18 +476,19 @@
 TEST_CASE("a server that restarts unseen by the list leaves its sessions unreleased", "[slow]") {
   bool restarted = GENERATE(true, false);
   PlatformScene scene(1); // a note comes each second
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   auto [server, tag] = scene.standing(peer);
   auto note = [&, server = server, tag = tag] {
-    for (auto &link : server->server.links) {
+    for (auto &link : server->server.connections) {
       if (link->closed) continue;
-      RawServer::say(*link, StandIn::request(tag, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.3"}}));
+      RawServer::send(*link, StandIn::request(tag, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.3"}}));
       return;
     }
   };
   note();
   scene.run(0.2);
-  for (auto &link : server->server.links) { // as its process ends; another answers at once at its address
+  for (auto &link :
+       server->server.connections) { // as its process ends; another answers at once at its address
     asio::error_code ignored;
     link->socket.set_option(asio::socket_base::linger(true, 0), ignored);
     link->socket.close(ignored);
@@ -508,8 +509,8 @@
   PlatformScene scene(1);
   auto [server, tag] = scene.standing(scene.viewer());
   scene.front->drain([] {});
-  for (auto &link : server->server.links) link->socket.close();
-  std::size_t before = server->server.links.size();
+  for (auto &link : server->server.connections) link->socket.close();
+  std::size_t before = server->server.connections.size();
   scene.run(0.6);
-  CHECK(server->server.links.size() == before);
+  CHECK(server->server.connections.size() == before);
 }
--- a/tests/platform/test_many_servers.cpp
+++ b/tests/platform/test_many_servers.cpp
@@ -30,7 +30,7 @@
                          {"boot_ms", 0}});
   }
   ManyServers() : PlatformScene(2, "safe", list_many) {
-    until([&] { return !channel.links.empty(); });
+    until([&] { return !channel.connections.empty(); });
   }
   std::string change_of_one(std::uint64_t number, unsigned state) {
     WrittenServer one{kFirstListed + 7, 9, state, 0, 0, 8, 0};
@@ -53,11 +53,11 @@
 
 TEST_CASE("many servers: a placement looks at servers that do not hold the title", "[many]") {
   ManyServers scene;
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   scene.standing(peer); // connections are up
   auto before = scene.front->work();
   std::string tag = scene.next_tag();
-  peer.say(PlatformScene::start(tag));
+  peer.send(PlatformScene::start(tag));
   REQUIRE(scene.until([&] { return PlatformScene::said(peer, "STARTED", tag); }));
   auto after = scene.front->work();
   CHECK(after.for_placements - before.for_placements < 20);
@@ -85,13 +85,13 @@
     int cell = 0;
     for (auto &target : config["known"]["cmds"][0]["nodes"]["targets"]) target["pod_group"] = cell++;
   });
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   std::vector<std::string> tags;
   for (int s = 0; s < kHolding; ++s) {
     tags.push_back(scene.next_tag());
     std::string line = PlatformScene::start(tags.back());
     line.replace(line.find("home:0"), 6, "home:" + std::to_string(s));
-    peer.say(line);
+    peer.send(line);
     CHECK(scene.until([&] { return PlatformScene::said(peer, "STARTED", tags.back()); }, 1.5));
     scene.run(0.3);
   }
@@ -100,10 +100,10 @@
   std::vector<bool> told(kHolding, false);
   auto all_told = [&] {
     for (std::size_t s = 0; s < kHolding; ++s) {
-      auto &links = scene.servers[s]->server.links;
+      auto &links = scene.servers[s]->server.connections;
       if (told[s] || links.empty() || links.back()->closed) continue;
       told[s] = true;
-      RawServer::say(*links.back(), StandIn::request(tags[s], "TEARDOWN", {{"Reason", "cause=16"}}));
+      RawServer::send(*links.back(), StandIn::request(tags[s], "TEARDOWN", {{"Reason", "cause=16"}}));
     }
     return std::ranges::all_of(tags,
                                [&](const auto &tag) { return PlatformScene::said(peer, "FINISH", tag); });
@@ -120,24 +120,24 @@
     int cell = 0;
     for (auto &target : config["known"]["cmds"][0]["nodes"]["targets"]) target["pod_group"] = cell++;
   });
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   auto ask = [&](int home) {
     std::string tag = scene.next_tag(), line = PlatformScene::start(tag);
     line.replace(line.find("home:0"), 6, "home:" + std::to_string(home));
-    peer.say(line);
+    peer.send(line);
     CHECK(scene.until([&] { return PlatformScene::said(peer, "STARTED", tag); }, 1.5));
     return tag;
   };
   std::string first = ask(0);
-  REQUIRE(scene.until([&] { return !scene.channel.links.empty(); }));
+  REQUIRE(scene.until([&] { return !scene.channel.connections.empty(); }));
   WrittenServer gone = PlatformScene::written(1, *scene.servers[0], 2);
   scene.tell(frame(2, 2, record(gone)));
   REQUIRE(scene.until([&] { return scene.front->core().list_version() == 2; }));
   for (int s = 1; s < kHolding; ++s) {
     scene.run(0.35);
     ask(s);
-    RawServer::say(*scene.servers[0]->server.links[0],
-                   StandIn::request(first, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.3"}}));
+    RawServer::send(*scene.servers[0]->server.connections[0],
+                    StandIn::request(first, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.3"}}));
   }
   CHECK_FALSE(PlatformScene::said(peer, "FINISH", first)); // it still plays, on the connection it has
 }
@@ -152,11 +152,11 @@
     for (auto &target : config["known"]["cmds"][0]["nodes"]["targets"]) target["pod_group"] = cell++;
   });
   std::size_t room = platform::share_out(kSockets, 48).servers;
-  RawPeer &peer = scene.viewer();
+  RawClient &peer = scene.viewer();
   auto ask = [&](std::size_t home) {
     std::string tag = scene.next_tag(), line = PlatformScene::start(tag);
     line.replace(line.find("home:0"), 6, "home:" + std::to_string(home));
-    peer.say(line);
+    peer.send(line);
     return tag;
   };
   std::string first;
@@ -168,8 +168,8 @@
   scene.run(0.4);
   std::string next =
       ask(room); // wants the place of the oldest connection, on which a release has just arrived
-  RawServer::say(*scene.servers[0]->server.links[0],
-                 StandIn::request(first, "TEARDOWN", {{"Reason", "cause=16"}}));
+  RawServer::send(*scene.servers[0]->server.connections[0],
+                  StandIn::request(first, "TEARDOWN", {{"Reason", "cause=16"}}));
   CHECK(scene.until([&] { return PlatformScene::said(peer, "STARTED", next); }, 1.5));
   CHECK(scene.until([&] { return PlatformScene::said(peer, "FINISH", first); }, 1));
 }
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -10,16 +10,16 @@
 TEST_CASE(
     "a play on the platform: set up at the top rung, its description unchanged, its end told, nothing kept") {
   PlatformScene scene;
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   CHECK(server->asked.size() == 1);
   CHECK(server->asked[0].title == "7f3a9c21e0b4d655");
   CHECK(server->asked[0].rung == 3);
-  CHECK(viewer.heard.find("\"blob\":\"of " + tag + "\"") != std::string::npos);
-  RawServer::say(*server->asked[0].link,
-                 StandIn::request(tag, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.4"}}));
+  CHECK(viewer.received.find("\"blob\":\"of " + tag + "\"") != std::string::npos);
+  RawServer::send(*server->asked[0].link,
+                  StandIn::request(tag, "ANNOUNCE", {{"X-Outcome", "link"}, {"P-Amount", "0.4"}}));
   std::string release = StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}});
-  RawServer::say(*server->asked[0].link, release + release); // its repeat changes nothing
+  RawServer::send(*server->asked[0].link, release + release); // its repeat changes nothing
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 1));
   scene.run(0.1);
   CHECK(viewer.count("\"verb\":\"FINISH\"") == 1);
@@ -43,15 +43,15 @@
     CAPTURE(row.effect, row.how);
     PlatformScene scene(2, row.effect);
     for (auto &server : scene.servers) server->how = row.how;
-    RawPeer &viewer = scene.viewer();
+    RawClient &viewer = scene.viewer();
     std::string tag = scene.next_tag();
-    viewer.say(PlatformScene::start(tag));
+    viewer.send(PlatformScene::start(tag));
     REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
     StandIn &first = scene.asked();
     for (auto &server : scene.servers) {
       if (server.get() != &first) server->how = "play";
     }
-    REQUIRE(scene.until([&] { return viewer.heard.find(tag) != std::string::npos; }, 2));
+    REQUIRE(scene.until([&] { return viewer.received.find(tag) != std::string::npos; }, 2));
     scene.run(0.15);
     CHECK(PlatformScene::said(viewer, "STARTED", tag) == row.plays);
     CHECK(viewer.count(tag) == (row.plays ? 2u : 1u)); // its id and its description, once
@@ -65,22 +65,22 @@
 TEST_CASE(
     "a server that refuses connections, and an idle connection that is reset: set up elsewhere, one answer") {
   PlatformScene scene(2);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, first] = scene.standing(viewer);
-  viewer.say(PlatformScene::finish(first));
+  viewer.send(PlatformScene::finish(first));
   REQUIRE(scene.until([&] { return scene.open() == 0; }, 1));
   for (auto &one : scene.servers)
-    for (auto &link : one->server.links) {
+    for (auto &link : one->server.connections) {
       link->socket.set_option(asio::socket_base::linger(true, 0)); // a reset
       link->socket.close();
     }
   CHECK_NOTHROW(scene.standing(viewer));
   PlatformScene other(2);
   other.servers[0]->server.acceptor.close(); // nothing listens there
-  RawPeer &next = other.viewer();
+  RawClient &next = other.viewer();
   for (int i = 0; i < 4; ++i) {
     std::string tag = other.next_tag();
-    next.say(PlatformScene::start(tag));
+    next.send(PlatformScene::start(tag));
     REQUIRE(other.until([&] { return PlatformScene::said(next, "STARTED", tag); }, 2));
   }
   CHECK(other.servers[0]->asked.empty());
@@ -89,20 +89,20 @@
 
 TEST_CASE("a new server at the address of one that has gone has connections of its own") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
-  std::size_t links = server->server.links.size();
-  REQUIRE(scene.until([&] { return scene.channel.links.size() == 1; }));
+  std::size_t links = server->server.connections.size();
+  REQUIRE(scene.until([&] { return scene.channel.connections.size() == 1; }));
   scene.tell(frame(2, 2,
                    record(scene.written(1, *server, 2)) +
                        record(scene.written(2, *server, 0)))); // the first left, the second is new
   std::string second = scene.next_tag();
   scene.run(0.25);
-  viewer.say(PlatformScene::start(second));
+  viewer.send(PlatformScene::start(second));
   REQUIRE(scene.until([&] { return PlatformScene::said(viewer, "STARTED", second); }, 2));
-  CHECK(server->server.links.size() > links);
+  CHECK(server->server.connections.size() > links);
   CHECK(server->asked.back().link != server->asked.front().link);
-  RawServer::say(*server->asked.front().link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
+  RawServer::send(*server->asked.front().link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 1));
   CHECK(scene.open() == 1);
 }
@@ -112,14 +112,14 @@
     CAPTURE(by_close);
     PlatformScene scene;
     for (auto &server : scene.servers) server->how = "silent";
-    RawPeer &viewer = scene.viewer();
+    RawClient &viewer = scene.viewer();
     std::string tag = scene.next_tag();
-    viewer.say(PlatformScene::start(tag));
+    viewer.send(PlatformScene::start(tag));
     REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
     if (by_close)
       viewer.socket.close();
     else
-      viewer.say(PlatformScene::finish(tag));
+      viewer.send(PlatformScene::finish(tag));
     CHECK(scene.until([&] { return scene.asked().torn.size() == 1; }, 1));
     CHECK(scene.open() == 0);
     CHECK_FALSE(PlatformScene::said(viewer, "FINISH", tag));
@@ -157,10 +157,11 @@
     CAPTURE(row.substr(0, 200));
     PlatformScene scene(1);
     scene.servers[0]->how = "silent";
-    RawPeer &viewer = scene.viewer();
-    viewer.say(row);
-    CHECK(scene.until([&] { return viewer.closed || viewer.heard.find("FINISH") != std::string::npos; }, 1));
-    CHECK(viewer.heard.find("STARTED") == std::string::npos);
+    RawClient &viewer = scene.viewer();
+    viewer.send(row);
+    CHECK(
+        scene.until([&] { return viewer.closed || viewer.received.find("FINISH") != std::string::npos; }, 1));
+    CHECK(viewer.received.find("STARTED") == std::string::npos);
     scene.run(0.02);
     CHECK(scene.set_ups() == 0); // of two under one number neither has left yet
     CHECK(scene.open() == 0);
@@ -170,15 +171,15 @@
 TEST_CASE("a set-up sent once more on a new connection is answered there; another's id is not") {
   PlatformScene scene;
   for (auto &server : scene.servers) server->how = "silent";
-  RawPeer &first = scene.viewer(), &second = scene.viewer(), &third = scene.viewer();
+  RawClient &first = scene.viewer(), &second = scene.viewer(), &third = scene.viewer();
   std::string tag = scene.next_tag();
-  first.say(PlatformScene::start(tag));
+  first.send(PlatformScene::start(tag));
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
-  third.say(PlatformScene::start(tag, "", "0000000000000001"));
+  third.send(PlatformScene::start(tag, "", "0000000000000001"));
   CHECK(scene.until([&] { return third.closed; }, 1));
-  second.say(PlatformScene::start(tag));
+  second.send(PlatformScene::start(tag));
   scene.run(0.05);
-  RawServer::say(*scene.asked().asked[0].link, StandIn::answer(tag, 200, "x"));
+  RawServer::send(*scene.asked().asked[0].link, StandIn::answer(tag, 200, "x"));
   CHECK(scene.until([&] { return PlatformScene::said(second, "STARTED", tag); }, 1));
   CHECK_FALSE(PlatformScene::said(first, "STARTED", tag));
   CHECK(scene.set_ups() == 1);
@@ -186,14 +187,15 @@
 
 TEST_CASE("plays handed over are known by their server, and their ends told") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   std::string tag = scene.next_tag();
-  viewer.say(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
-  viewer.say(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
+  viewer.send(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
+  viewer.send(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
   REQUIRE(scene.until([&] { return scene.open() == 1; }));
-  REQUIRE(scene.until([&] { return scene.servers[0]->server.links.size() == 1; })); // it keeps a connection
-  RawServer::say(*scene.servers[0]->server.links[0],
-                 StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=41"}}));
+  REQUIRE(
+      scene.until([&] { return scene.servers[0]->server.connections.size() == 1; })); // it keeps a connection
+  RawServer::send(*scene.servers[0]->server.connections[0],
+                  StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=41"}}));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 1));
   CHECK(scene.set_ups() == 0);
   CHECK(scene.open() == 0);
@@ -201,15 +203,15 @@
 
 TEST_CASE("an end is told on another good connection when its own has gone, and never on a stranger's") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer(), &other = scene.viewer(), &stranger = scene.viewer();
+  RawClient &viewer = scene.viewer(), &other = scene.viewer(), &stranger = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   auto [same, other_tag] = scene.standing(other);
-  stranger.say(R"({"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0})"
-               "\n");
+  stranger.send(R"({"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0})"
+                "\n");
   REQUIRE(scene.until([&] { return PlatformScene::said(stranger, "ECHOED", "0000000000000001"); }));
   viewer.socket.close();
   scene.run(0.05);
-  RawServer::say(*server->asked[0].link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
+  RawServer::send(*server->asked[0].link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
   CHECK(scene.until([&] { return PlatformScene::said(other, "FINISH", tag); }, 1));
   CHECK_FALSE(PlatformScene::said(stranger, "FINISH", tag));
 }
@@ -218,14 +220,14 @@
   for (std::string how : {"died", "restarted", "left", "left and silent"}) {
     CAPTURE(how);
     PlatformScene scene(1);
-    RawPeer &viewer = scene.viewer();
+    RawClient &viewer = scene.viewer();
     auto [server, tag] = scene.standing(viewer);
     scene.run(0.02);
     if (how == "died") server->server.acceptor.close();
     if (how == "died" || how == "left")
-      for (auto &link : server->server.links) link->socket.close();
+      for (auto &link : server->server.connections) link->socket.close();
     if (how != "died") {
-      REQUIRE(scene.until([&] { return scene.channel.links.size() == 1; }));
+      REQUIRE(scene.until([&] { return scene.channel.connections.size() == 1; }));
       std::uint64_t started =
           how == "restarted" ? static_cast<std::uint64_t>(scene.front->core().clock().exact() * 1000) : 0;
       scene.tell(frame(2, 2, record(scene.written(1, *server, how.starts_with("left") ? 2 : 0, started))));
@@ -270,26 +272,26 @@
 
 TEST_CASE("the planned end: requests that still come are served, tests fail, then all is answered") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   bool done = false;
   scene.front->drain([&] { done = true; });
   std::string tag = scene.next_tag();
-  viewer.say(PlatformScene::start(tag));
+  viewer.send(PlatformScene::start(tag));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "STARTED", tag); }, 0.5));
-  RawPeer &late = scene.viewer();
-  late.say(R"({"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0})"
-           "\n");
-  CHECK(scene.until([&] { return late.heard.find("\"rc\":0") != std::string::npos; }, 0.5));
+  RawClient &late = scene.viewer();
+  late.send(R"({"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0})"
+            "\n");
+  CHECK(scene.until([&] { return late.received.find("\"rc\":0") != std::string::npos; }, 0.5));
   scene.servers[0]->how = "silent"; // one in hand holds up the end
   scene.run(0.4);
   std::string held = scene.next_tag();
-  viewer.say(PlatformScene::start(held));
+  viewer.send(PlatformScene::start(held));
   scene.run(0.3); // past the time in which requests still come
   CHECK_FALSE(done);
   std::string too_late = scene.next_tag();
-  viewer.say(PlatformScene::start(too_late)); // declined at once, to come back as late as the settings allow
+  viewer.send(PlatformScene::start(too_late)); // declined at once, to come back as late as the settings allow
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", too_late); }, 0.3));
-  CHECK(viewer.heard.find("\"wait\":\"500\"},\"rc\":34") != std::string::npos);
+  CHECK(viewer.received.find("\"wait\":\"500\"},\"rc\":34") != std::string::npos);
   CHECK_FALSE(PlatformScene::said(viewer, "FINISH", held));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", held); }, 1.5));
   CHECK_FALSE(done);
@@ -318,12 +320,12 @@
   other["settings"]["skus"] = {"k", "l"};
   CHECK(scene.front->change(platform::read_boot(other.dump())));
   RawServer moved(scene.io);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   other = scene.config;
   other["channel"] = "127.0.0.1:" + std::to_string(moved.acceptor.local_endpoint().port());
   CHECK_FALSE(scene.front->change(platform::read_boot(other.dump())));
-  CHECK(scene.until([&] { return moved.links.size() == 1; }, 1));
+  CHECK(scene.until([&] { return moved.connections.size() == 1; }, 1));
   CHECK(scene.open() == 1); // plays are untouched
 }
 
@@ -339,23 +341,23 @@
 TEST_CASE("hundreds of silent connections and hundreds of withdrawals beside a good play; many plays, "
           "nothing kept") {
   PlatformScene scene(2);
-  std::vector<std::unique_ptr<RawPeer>> silent;
+  std::vector<std::unique_ptr<RawClient>> silent;
   for (int i = 0; i < 300; ++i)
-    silent.push_back(std::make_unique<RawPeer>(scene.io, scene.front->viewers().local()));
-  RawPeer &hasty = scene.viewer();
+    silent.push_back(std::make_unique<RawClient>(scene.io, scene.front->viewers().local()));
+  RawClient &hasty = scene.viewer();
   std::string all;
   for (int i = 0; i < 300; ++i) {
     std::string tag = scene.next_tag();
     all += PlatformScene::start(tag) + PlatformScene::finish(tag);
   }
-  hasty.say(all);
-  RawPeer &viewer = scene.viewer();
+  hasty.send(all);
+  RawClient &viewer = scene.viewer();
   CHECK_NOTHROW(scene.standing(viewer));
   CHECK(scene.until([&] { return scene.open() == 1; }, 3));
   for (int round = 0; round < 40; ++round) { // new ids and new connections, each play ended by its viewer
-    RawPeer &next = scene.viewer();
+    RawClient &next = scene.viewer();
     auto [server, tag] = scene.standing(next);
-    next.say(PlatformScene::finish(tag));
+    next.send(PlatformScene::finish(tag));
     REQUIRE(scene.until([&] { return scene.open() == 1; }, 1));
     next.socket.close();
   }
@@ -365,11 +367,11 @@
 
 TEST_CASE("a whole list that no longer names a server: its plays end as those of one that left") {
   PlatformScene scene(2);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
-  REQUIRE(scene.until([&] { return scene.channel.links.size() == 1; }));
+  REQUIRE(scene.until([&] { return scene.channel.connections.size() == 1; }));
   scene.tell(frame(2, 1)); // a list of none
-  for (auto &link : server->server.links) link->socket.close();
+  for (auto &link : server->server.connections) link->socket.close();
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 2));
 }
 
@@ -380,12 +382,12 @@
   scene.front = std::make_unique<platform::PlatformFront>(scene.io, platform::read_boot(scene.config.dump()),
                                                           scene.log);
   scene.run(0.25);
-  RawPeer &viewer = scene.viewer();
+  RawClient &viewer = scene.viewer();
   int plays = 0;
   for (int i = 0; i < 40; ++i) {
     std::string tag = scene.next_tag();
-    viewer.say(PlatformScene::start(tag));
-    REQUIRE(scene.until([&] { return viewer.heard.find(tag) != std::string::npos; }, 2));
+    viewer.send(PlatformScene::start(tag));
+    REQUIRE(scene.until([&] { return viewer.received.find(tag) != std::string::npos; }, 2));
     plays += PlatformScene::said(viewer, "STARTED", tag);
     CHECK(scene.front->servers().connections() <= platform::share_out(32, 48).servers);
   }
@@ -394,10 +396,10 @@
 
 TEST_CASE("an end said on a connection that breaks unheard is said again on another") {
   PlatformScene scene(1);
-  RawPeer &viewer = scene.viewer(), &other = scene.viewer();
+  RawClient &viewer = scene.viewer(), &other = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   auto [same, other_tag] = scene.standing(other);
-  RawServer::say(*server->asked[0].link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
+  RawServer::send(*server->asked[0].link, StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=16"}}));
   REQUIRE(scene.until([&] { return scene.open() == 1; }));
   viewer.socket.close();
   CHECK(scene.until([&] { return PlatformScene::said(other, "FINISH", tag); }, 1));
@@ -417,20 +419,20 @@
   std::size_t before = 0, answered = 0;
   for (int round = 0; round < 1000; ++round) {
     if (round == 500) before = resident_kb();
-    RawPeer peer(scene.io, scene.front->viewers().local());
+    RawClient peer(scene.io, scene.front->viewers().local());
     std::string all;
     std::vector<std::string> tags;
     for (int i = 0; i < 100; ++i) {
       tags.push_back(scene.next_tag());
       all += PlatformScene::start(tags.back());
     }
-    peer.say(all);
+    peer.send(all);
     auto out = [&] { return peer.count("\"verb\":\"STARTED\"") + peer.count("\"verb\":\"FINISH\""); };
     REQUIRE(scene.until([&] { return out() >= 100; }, 5));
     answered += out();
     all.clear();
     for (const std::string &tag : tags) all += PlatformScene::finish(tag);
-    peer.say(all);
+    peer.send(all);
     REQUIRE(scene.until([&] { return scene.open() == 0; }, 5));
     for (auto &server : scene.servers) server->asked.clear(), server->torn.clear();
     peer.socket.close();
--- a/tests/rtsp/test_rtsp.cpp
+++ b/tests/rtsp/test_rtsp.cpp
@@ -162,8 +162,9 @@
   set_up.timeout = 0.1;
   peer.set_up(set_up);
   peer.probe();
-  REQUIRE(testing::run_until(io, [&] { return !server.links.empty() && !server.links[0]->heard.empty(); }));
-  testing::RawServer::say(*server.links[0], answer("v=0\r\n"));
+  REQUIRE(testing::run_until(
+      io, [&] { return !server.connections.empty() && !server.connections[0]->received.empty(); }));
+  testing::RawServer::send(*server.connections[0], answer("v=0\r\n"));
   int before = events;
   CHECK(before > 0); // it came up
   peer.shut_down();
