--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -17,7 +17,7 @@
 
 struct FakeServer {
   struct Asked {
-    serverwire::SetUp set_up;
+    serverwire::SetUpRequest set_up;
     std::shared_ptr<http::Exchange> exchange;
   };
   std::vector<Asked> asked;
@@ -36,7 +36,7 @@
         [this](const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
           on(request, exchange);
         });
-    at = server->local();
+    at = server->local_endpoint();
   }
   static http::Response says(int status, double link = 0.2) {
     hints::CmsdLoad load;
@@ -47,25 +47,25 @@
     return response;
   }
   void on(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
-    auto play = serverwire::play_of(request.path);
+    auto play = serverwire::parse_play_path(request.path);
     if (request.method == "POST") {
-      asked.push_back({serverwire::read_set_up(request), exchange});
+      asked.push_back({serverwire::parse_set_up(request), exchange});
       if (!answers || mute) return;
       holds.push_back(*play);
-      exchange->answer(says(201));
+      exchange->respond(says(201));
     } else if (request.method == "DELETE") {
       ended.push_back(*play);
-      if (!mute) exchange->answer(says(204));
+      if (!mute) exchange->respond(says(204));
     } else if (request.method == "PUT") {
-      rungs.push_back(*play + " " + std::to_string(serverwire::whole_part(request, "rung")));
-      exchange->answer(says(204));
+      rungs.push_back(*play + " " + std::to_string(serverwire::integer_parameter(request, "rung")));
+      exchange->respond(says(204));
     } else if (request.path == "/load") {
       ++probes;
-      if (!mute) exchange->answer(says(200));
+      if (!mute) exchange->respond(says(200));
     } else if (follows && !mute) {
       exchange->open_stream({});
       serverwire::Report hello;
-      hello.kind = serverwire::Report::Kind::hello, hello.started = started, hello.plays = holds;
+      hello.kind = serverwire::Report::Kind::hello, hello.started_at = started, hello.plays = holds;
       exchange->write(serverwire::write_report(hello));
       streams.push_back(exchange);
     }
@@ -103,7 +103,7 @@
   HandList *list;
   std::unique_ptr<edge::Edge> edge;
   std::vector<std::unique_ptr<FakeServer>> servers;
-  std::vector<std::unique_ptr<RawPeer>> players;
+  std::vector<std::unique_ptr<RawClient>> players;
   std::uint64_t version = 0;
 
   explicit EdgeScene(int count = 2, const std::string &more = "") {
@@ -149,13 +149,13 @@
   void run_for(double seconds) {
     until([] { return false; }, seconds);
   }
-  RawPeer &ask(const std::string &target = "/play/a", const std::string &more = "") {
-    players.push_back(std::make_unique<RawPeer>(io, edge->players()));
-    players.back()->say("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + more + "\r\n");
+  RawClient &ask(const std::string &target = "/play/a", const std::string &more = "") {
+    players.push_back(std::make_unique<RawClient>(io, edge->players()));
+    players.back()->send("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + more + "\r\n");
     return *players.back();
   }
-  static int status(const RawPeer &peer) {
-    return peer.heard.size() > 12 ? std::stoi(peer.heard.substr(9, 3)) : 0;
+  static int status(const RawClient &peer) {
+    return peer.received.size() > 12 ? std::stoi(peer.received.substr(9, 3)) : 0;
   }
   double metric(const std::string &name) {
     std::string text = edge->metrics_text();
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -20,7 +20,7 @@
       part.remove_prefix(taken);
       if (progress == http::MessageReader::Progress::failed) return sum * 1000 + reader.failure_status();
       if (progress == http::MessageReader::Progress::complete)
-        ++sum, reader.next();
+        ++sum, reader.start_next();
       else if (taken == 0)
         break;
     }
@@ -35,17 +35,17 @@
     if (whole != statuses(text, text.size() / 2, kind)) std::abort();
   }
   hints::Cmcd hints;
-  hints::read_cmcd(text, hints);
+  hints::parse_cmcd(text, hints);
   hints::Cmcd back;
-  hints::read_cmcd(hints::write_cmcd(hints), back);
-  if (back.malformed || back.top_kbps.has_value() != hints.top_kbps.has_value()) std::abort();
-  hints::read_cmsd(text);
-  if (auto report = serverwire::read_report(text)) {
+  hints::parse_cmcd(hints::write_cmcd(hints), back);
+  if (back.malformed || back.top_bitrate_kbps.has_value() != hints.top_bitrate_kbps.has_value()) std::abort();
+  hints::parse_cmsd(text);
+  if (auto report = serverwire::parse_report(text)) {
     std::string line = serverwire::write_report(*report);
     line.pop_back();
-    auto again = serverwire::read_report(line);
+    auto again = serverwire::parse_report(line);
     if (!again || again->kind != report->kind || again->play != report->play) std::abort();
   }
-  http::decode(text);
+  http::percent_decode(text);
   return 0;
 }
