--- a/src/edge/list_source.cpp
+++ b/src/edge/list_source.cpp
@@ -167,12 +167,12 @@
   ServerList out;
   out.version = static_cast<std::uint64_t>(record.number("version"));
   std::set<std::string> ids;
-  records::Faults faults;
+  records::Diagnostics faults;
   for (const records::Record &one : record.items("servers")) {
     ListedServer server;
     server.id = one.text("id");
     server.hall = one.text("hall"), server.kind = one.text("kind");
-    server.cell = one.whole("cell");
+    server.cell = one.integer("cell");
     server.weight = one.number("weight"), server.started = one.number("started");
     std::string standing = one.text("standing");
     server.standing = standing == "active"    ? Standing::active
@@ -182,11 +182,11 @@
       server.address = site::parse_endpoint(one.text("address"));
     } catch (const std::invalid_argument &error) {
       faults.push_back(
-          {one.at("address").value().place, one.path() + ".address", "an address and port", error.what()});
+          {one.at("address").value().location, one.path() + ".address", "an address and port", error.what()});
     }
     if (!ids.insert(server.id).second)
-      faults.push_back(
-          {one.at("id").value().place, one.path() + ".id", "an id that stands once in the list", server.id});
+      faults.push_back({one.at("id").value().location, one.path() + ".id",
+                        "an id that stands once in the list", server.id});
     out.servers.push_back(std::move(server));
   }
   if (!faults.empty()) throw records::RecordError(std::move(faults));
@@ -198,7 +198,7 @@
   records::Record record = records::read(files, site::front_schema(), "#Catalogue");
   Catalogue out;
   for (const auto &[title, place] : record.at("titles").fields())
-    out[title] = {place.whole("cell"), place.whole("cells")};
+    out[title] = {place.integer("cell"), place.integer("cells")};
   return out;
 }
 
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -160,13 +160,13 @@
   Day day;
   day.name = r.text("name");
   day.seconds = r.seconds("seconds");
-  day.fronts = fronts > 0 ? fronts : r.whole("fronts");
-  int usual = r.whole("servers");
+  day.fronts = fronts > 0 ? fronts : r.integer("fronts");
+  int usual = r.integer("servers");
   day.servers = servers > 0 ? servers : usual;
   // More servers than the record's bring plays, cells, racks and titles in proportion.
   double scale = static_cast<double>(day.servers) / usual;
   auto scaled = [&](const char *name) {
-    return std::max(1, static_cast<int>(std::round(r.whole(name) * scale)));
+    return std::max(1, static_cast<int>(std::round(r.integer(name) * scale)));
   };
   day.cells = scaled("cells"), day.racks = std::min(scaled("racks"), day.cells),
   day.titles = scaled("titles");
@@ -189,7 +189,7 @@
     }
     fault.at = one.seconds("at"), fault.lasts = one.seconds("lasts"), fault.part = one.number("part");
     fault.size = one.number("size"), fault.every = one.seconds("every");
-    fault.front = one.whole("front"), fault.replace = one.flag("replace");
+    fault.front = one.integer("front"), fault.replace = one.boolean("replace");
     day.faults.push_back(fault);
   }
   day.site = r.at("site");
--- a/src/lab/judge.cpp
+++ b/src/lab/judge.cpp
@@ -374,7 +374,7 @@
   void rule_terms() {
     auto products = day_.terms.record.items("products");
     for (const Allocation &a : allocations_) {
-      int floor = products[product_index(a.product)].whole("floor");
+      int floor = products[product_index(a.product)].integer("floor");
       if (a.rung < floor)
         breach(5, described(a) + ": rung " + std::to_string(a.rung) + " under the floor " +
                       std::to_string(floor));
@@ -383,7 +383,7 @@
       ++verdict_.rung_steps;
       auto it = by_play_.find(play);
       if (it == by_play_.end()) continue;
-      int floor = products[product_index(allocations_[it->second.back()].product)].whole("floor");
+      int floor = products[product_index(allocations_[it->second.back()].product)].integer("floor");
       if (rung < floor)
         breach(5,
                "play " + play + " stepped to rung " + std::to_string(rung) + " under the floor at " + at(t));
@@ -395,7 +395,7 @@
     };
     std::map<std::string, std::vector<Edge>> holders;
     for (const Allocation &a : allocations_) {
-      if (products[product_index(a.product)].whole("seats") <= 0) continue;
+      if (products[product_index(a.product)].integer("seats") <= 0) continue;
       std::string who = a.front + " " + a.boot + " " + a.title + " " + a.product;
       double over = a.over() - kSkew;
       if (over <= a.arrived) continue;
@@ -408,7 +408,7 @@
       int held = 0;
       for (const Edge &edge : edges) {
         held += edge.by;
-        int seats = products[product_index(edge.a->product)].whole("seats");
+        int seats = products[product_index(edge.a->product)].integer("seats");
         if (edge.by > 0 && held > seats)
           breach(5, described(*edge.a) + ": " + std::to_string(held) + " plays of title " + edge.a->title +
                         " at front " + edge.a->front + ", seats " + std::to_string(seats));
--- a/src/lab/run_day.cpp
+++ b/src/lab/run_day.cpp
@@ -20,7 +20,7 @@
 
 namespace snowshore::lab {
 
-using records::write_whole;
+using records::replace_file;
 using telemetry::span;
 
 namespace {
@@ -40,7 +40,7 @@
     std::string managed;
     if (options.beside)
       managed = "management: {listen: \"127.0.0.1:0\", plaintext: true, store: \"" + folder_ + "/store\"}\n";
-    write_whole(folder_ + "/front.cue", front_record(day, index, folder_) + managed);
+    replace_file(folder_ + "/front.cue", front_record(day, index, folder_) + managed);
   }
   ~FrontProcess() { kill_now(false); }
 
@@ -338,7 +338,7 @@
               "\", started: " + started + "},\n";
       if (one.standing != "active") told.push_back(one.id);
     }
-    write_whole(front.folder() + "/list.cue", text + "]\n");
+    replace_file(front.folder() + "/list.cue", text + "]\n");
     fleet_.put("list", {{"front", front.name()}, {"version", list_version_}, {"not_active", told}});
   }
 
@@ -348,7 +348,7 @@
     for (int t = 0; t < day_.titles; ++t)
       text += "  t" + std::to_string(t) + ": {cell: " + std::to_string(t * 7 % day_.cells) +
               ", cells: " + std::to_string(copies) + "}\n";
-    write_whole(front.folder() + "/catalogue.cue", text + "}\n");
+    replace_file(front.folder() + "/catalogue.cue", text + "}\n");
   }
 
   // ---- What goes wrong.
@@ -536,9 +536,9 @@
   if (!ours) throw std::runtime_error(options.folder + " holds something else than a day");
   fs::remove_all(options.folder);
   fs::create_directories(options.folder);
-  write_whole(options.folder + "/day.cue", day_text);
-  write_whole(options.folder + "/scale.json",
-              Json{{"fronts", day.fronts}, {"servers", day.servers}, {"seed", options.seed}}.dump() + "\n");
+  replace_file(options.folder + "/day.cue", day_text);
+  replace_file(options.folder + "/scale.json",
+               Json{{"fronts", day.fronts}, {"servers", day.servers}, {"seed", options.seed}}.dump() + "\n");
   DayRun run(day, options);
   run.run();
 }
--- a/src/model/model.cpp
+++ b/src/model/model.cpp
@@ -139,8 +139,8 @@
 std::string exact_decimal(const records::Record &where, double value) {
   std::string text = decimal(value);
   if (std::abs(std::strtod(text.c_str(), nullptr) - value) > std::abs(value) * 1e-9)
-    throw records::RecordError({{where.value().place, where.path(), "a number of no more than six decimals",
-                                 records::describe(where.value())}});
+    throw records::RecordError({{where.value().location, where.path(),
+                                 "a number of no more than six decimals", records::describe(where.value())}});
   return text;
 }
 
@@ -151,7 +151,7 @@
   if (base == LY_TYPE_DEC64) return exact_decimal(value, value.as_number());
   if (as_number(base)) return static_cast<std::int64_t>(value.as_number());
   if (as_string(base)) return std::to_string(static_cast<std::int64_t>(value.as_number()));
-  if (base == LY_TYPE_BOOL) return value.value().flag;
+  if (base == LY_TYPE_BOOL) return value.value().boolean;
   return value.as_text();
 }
 
--- a/src/program/run.cpp
+++ b/src/program/run.cpp
@@ -14,9 +14,9 @@
 // For whoever waits for the ports.
 void write_ports(const std::string &file, const Edge &edge, int management) {
   if (file.empty()) return;
-  records::write_whole(file, "{\"players\": " + std::to_string(edge.players().port()) +
-                                 ", \"operators\": " + std::to_string(edge.operators().port()) +
-                                 ", \"management\": " + std::to_string(management) + "}\n");
+  records::replace_file(file, "{\"players\": " + std::to_string(edge.players().port()) +
+                                  ", \"operators\": " + std::to_string(edge.operators().port()) +
+                                  ", \"management\": " + std::to_string(management) + "}\n");
 }
 
 } // namespace
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -19,33 +19,35 @@
 using Node = tao::pegtl::parse_tree::node;
 using Kind = Value::Kind;
 
-constexpr std::size_t kDeepest = 64;       // brackets and labels within each other
-constexpr std::size_t kLargest = 16 << 20; // bytes of a file
-constexpr std::size_t kMostChoices = 256;  // alternatives of one value
+constexpr std::size_t kMaxNesting = 64;         // brackets and labels within each other
+constexpr std::size_t kMaxFileBytes = 16 << 20; // bytes of a file
+constexpr std::size_t kMaxDisjuncts = 256;      // alternatives of one value
 
-std::string all_lines(const Faults &faults) {
+std::string join_lines(const Diagnostics &diagnostics) {
   std::string out;
-  for (const Fault &fault : faults) out += (out.empty() ? "" : "\n") + fault.text();
+  for (const Diagnostic &diagnostic : diagnostics) out += (out.empty() ? "" : "\n") + diagnostic.text();
   return out;
 }
 
-[[noreturn]] void stop(Place place, std::string path, std::string expected, std::string found) {
-  throw RecordError(Faults{{std::move(place), std::move(path), std::move(expected), std::move(found)}});
+[[noreturn]] void throw_error(SourceLocation location, std::string path, std::string expected,
+                              std::string found) {
+  throw RecordError(
+      Diagnostics{{std::move(location), std::move(path), std::move(expected), std::move(found)}});
 }
 
 // Guards the stack: text is refused before it is parsed when it nests deeper than any record does.
-void check_depth(const Source &source) {
-  if (source.text.size() > kLargest)
-    stop({source.name}, "", "a file of " + std::to_string(kLargest) + " bytes at most",
-         std::to_string(source.text.size()));
+void check_nesting(const Source &source) {
+  if (source.text.size() > kMaxFileBytes)
+    throw_error({source.name}, "", "a file of " + std::to_string(kMaxFileBytes) + " bytes at most",
+                std::to_string(source.text.size()));
   std::size_t depth = 0, labels = 0, line = 1, line_start = 0;
-  bool in_text = false;
+  bool in_string = false;
   for (std::size_t i = 0; i < source.text.size(); ++i) {
     char c = source.text[i];
-    if (c == '\n') ++line, line_start = i + 1, labels = 0, in_text = false;
-    if (in_text && c == '\\') ++i;
-    if (c == '"') in_text = !in_text;
-    if (in_text) continue;
+    if (c == '\n') ++line, line_start = i + 1, labels = 0, in_string = false;
+    if (in_string && c == '\\') ++i;
+    if (c == '"') in_string = !in_string;
+    if (in_string) continue;
     if (c == '/' && i + 1 < source.text.size() && source.text[i + 1] == '/') {
       while (i + 1 < source.text.size() && source.text[i + 1] != '\n') ++i;
       continue;
@@ -54,16 +56,16 @@
     if ((c == '}' || c == ']' || c == ')') && depth) --depth;
     if (c == ',') labels = 0;
     if (c == ':') ++labels;
-    if (depth + labels > kDeepest)
-      stop({source.name, line, i - line_start + 1}, "", "nesting of " + std::to_string(kDeepest) + " at most",
-           "more");
+    if (depth + labels > kMaxNesting)
+      throw_error({source.name, line, i - line_start + 1}, "",
+                  "nesting of " + std::to_string(kMaxNesting) + " at most", "more");
   }
 }
 
-class Package {
+class Evaluator {
  public:
   void add(const Source &source, bool is_schema) {
-    check_depth(source);
+    check_nesting(source);
     auto input = std::make_unique<tao::pegtl::memory_input<>>(source.text, source.name);
     std::unique_ptr<Node> tree;
     try {
@@ -72,7 +74,8 @@
       const auto &at = error.positions().front();
       std::string rest(source.text.substr(std::min(at.byte, source.text.size()), 24));
       rest = rest.substr(0, rest.find('\n'));
-      stop({source.name, at.line, at.column}, "", wanted(error), rest.empty() ? "the end" : "'" + rest + "'");
+      throw_error({source.name, at.line, at.column}, "", expected_at(error),
+                  rest.empty() ? "the end" : "'" + rest + "'");
     }
     for (const auto &node : tree->children) {
       const Node &body = *node; // Body, or a Struct in braces
@@ -83,37 +86,39 @@
   }
 
   // The unified value of all regular top-level fields of user files, or of schema and files.
-  Ref body(bool of_schema, Faults &faults) {
+  ValuePtr body(bool of_schema, Diagnostics &diagnostics) {
     auto out = std::make_shared<Value>();
     out->kind = Kind::structure;
-    for (const auto &[name, declarations] : top_) {
+    for (const auto &[name, declarations] : declarations_) {
       if (name.starts_with('#')) continue;
-      Ref value;
+      ValuePtr value;
       FieldKind kind = FieldKind::optional;
       for (const Declaration &one : declarations) {
         if (one.is_schema != of_schema) continue;
-        Ref next = field_value(*one.node, name, faults);
+        ValuePtr next = field_value(*one.node, name, diagnostics);
         if (one.kind == FieldKind::regular) kind = FieldKind::regular;
-        value = value ? unify(value, next, name, faults) : next;
+        value = value ? unify(value, next, name, diagnostics) : next;
       }
       if (value) out->fields[name] = {value, kind};
     }
     return out;
   }
 
-  Ref definition(const std::string &name, const Place &from, Faults &faults) {
-    if (auto done = settled_.find(name); done != settled_.end()) return done->second;
-    auto it = top_.find(name);
-    if (it == top_.end()) stop(from, "", "a name that stands at the top level of a file", name);
-    if (!under_way_.insert(name).second) stop(from, "", "no reference that leads back to itself", name);
-    Ref value;
+  ValuePtr definition(const std::string &name, const SourceLocation &from, Diagnostics &diagnostics) {
+    if (auto done = evaluated_.find(name); done != evaluated_.end()) return done->second;
+    auto it = declarations_.find(name);
+    if (it == declarations_.end())
+      throw_error(from, "", "a name that stands at the top level of a file", name);
+    if (!in_progress_.insert(name).second)
+      throw_error(from, "", "no reference that leads back to itself", name);
+    ValuePtr value;
     for (const Declaration &one : it->second) {
-      Ref next = field_value(*one.node, name, faults);
-      value = value ? unify(value, next, name, faults) : next;
+      ValuePtr next = field_value(*one.node, name, diagnostics);
+      value = value ? unify(value, next, name, diagnostics) : next;
     }
-    under_way_.erase(name);
+    in_progress_.erase(name);
     if (name.starts_with('#')) value = close(value);
-    return settled_[name] = value;
+    return evaluated_[name] = value;
   }
 
  private:
@@ -123,18 +128,18 @@
     FieldKind kind;
   };
 
-  static std::string wanted(const tao::pegtl::parse_error &error) {
+  static std::string expected_at(const tao::pegtl::parse_error &error) {
     std::string rule(error.message()); // "parse error matching ...::Rule"
-    auto said = [&](std::string_view part) { return rule.find(part) != std::string::npos; };
-    if (said("::eof")) return "a field, or the end";
-    if (said("one<'}'>") || said("'}'") || said("125")) return "a field or '}'";
-    if (said("']'") || said("93")) return "an item or ']'";
-    if (said("')'") || said("41")) return "')'";
-    if (said("'\"'") || said("34")) return "the text's closing quote";
+    auto mentions = [&](std::string_view part) { return rule.find(part) != std::string::npos; };
+    if (mentions("::eof")) return "a field, or the end";
+    if (mentions("one<'}'>") || mentions("'}'") || mentions("125")) return "a field or '}'";
+    if (mentions("']'") || mentions("93")) return "an item or ']'";
+    if (mentions("')'") || mentions("41")) return "')'";
+    if (mentions("'\"'") || mentions("34")) return "the text's closing quote";
     return "a value";
   }
 
-  static Place place(const Node &node) {
+  static SourceLocation location_of(const Node &node) {
     auto at = node.begin();
     return {at.source, at.line, at.column};
   }
@@ -158,7 +163,7 @@
         std::from_chars(raw.data() + i + 1, raw.data() + i + 1 + digits, code, 16);
         i += digits;
         if (code > 0x10ffff || (code >= 0xd800 && code < 0xe000))
-          stop(place(node), "", "a Unicode character", std::string(node.string_view()));
+          throw_error(location_of(node), "", "a Unicode character", std::string(node.string_view()));
         if (code < 0x80) {
           out += static_cast<char>(code);
         } else if (code < 0x800) {
@@ -189,56 +194,58 @@
 
   void declare(const Node &member, bool is_schema) {
     if (!member.is_type<g::FieldRule>())
-      stop(place(member), "", "a field at the top level", std::string(member.string_view().substr(0, 24)));
-    top_[label_of(member)].push_back({&member, is_schema, kind_of(member)});
+      throw_error(location_of(member), "", "a field at the top level",
+                  std::string(member.string_view().substr(0, 24)));
+    declarations_[label_of(member)].push_back({&member, is_schema, kind_of(member)});
   }
 
-  Ref field_value(const Node &field, const std::string &path, Faults &faults) {
+  ValuePtr field_value(const Node &field, const std::string &path, Diagnostics &diagnostics) {
     const Node &value = *field.children.back();
-    if (!value.is_type<g::FieldRule>() && !value.is_type<g::Pattern>()) return eval(value, path, faults);
+    if (!value.is_type<g::FieldRule>() && !value.is_type<g::Pattern>())
+      return evaluate_node(value, path, diagnostics);
     auto out = std::make_shared<Value>(); // a: b: c, or a: [string]: c
     out->kind = Kind::structure;
-    out->place = place(value);
+    out->location = location_of(value);
     if (value.is_type<g::Pattern>()) {
-      out->pattern = eval(*value.children[0], join(path, "[string]"), faults);
+      out->pattern = evaluate_node(*value.children[0], join_path(path, "[string]"), diagnostics);
       return out;
     }
-    put(*out, value, path, faults);
+    add_field(*out, value, path, diagnostics);
     return out;
   }
 
-  void put(Value &into, const Node &field, const std::string &path, Faults &faults) {
-    std::string name = label_of(field), here = join(path, name);
-    Field next{field_value(field, here, faults), kind_of(field)};
+  void add_field(Value &into, const Node &field, const std::string &path, Diagnostics &diagnostics) {
+    std::string name = label_of(field), here = join_path(path, name);
+    Field next{field_value(field, here, diagnostics), kind_of(field)};
     auto [it, added] = into.fields.try_emplace(name, next);
     if (added) return;
     if (next.kind == FieldKind::regular) it->second.kind = FieldKind::regular;
-    it->second.value = unify(it->second.value, next.value, here, faults);
+    it->second.value = unify(it->second.value, next.value, here, diagnostics);
   }
 
-  Ref eval(const Node &node, const std::string &path, Faults &faults) {
+  ValuePtr evaluate_node(const Node &node, const std::string &path, Diagnostics &diagnostics) {
     auto out = std::make_shared<Value>();
-    out->place = place(node);
+    out->location = location_of(node);
     if (node.is_type<g::Expression>()) {
       if (node.children.size() == 1 && !node.children[0]->children[0]->is_type<g::Preferred>())
-        return eval(*node.children[0], path, faults);
-      if (node.children.size() > kMostChoices)
-        stop(out->place, path, std::to_string(kMostChoices) + " alternatives at most", "more");
-      out->kind = Kind::choice;
+        return evaluate_node(*node.children[0], path, diagnostics);
+      if (node.children.size() > kMaxDisjuncts)
+        throw_error(out->location, path, std::to_string(kMaxDisjuncts) + " alternatives at most", "more");
+      out->kind = Kind::disjunction;
       for (const auto &child : node.children)
-        out->alternatives.push_back(
-            {eval(*child, path, faults), child->children[0]->is_type<g::Preferred>()});
+        out->disjuncts.push_back(
+            {evaluate_node(*child, path, diagnostics), child->children[0]->is_type<g::Preferred>()});
       return out;
     }
     if (node.is_type<g::AlternativeRule>() || node.is_type<g::Group>())
-      return eval(*node.children.back(), path, faults);
+      return evaluate_node(*node.children.back(), path, diagnostics);
     if (node.is_type<g::Conjunction>()) {
-      Ref value = eval(*node.children[0], path, faults);
+      ValuePtr value = evaluate_node(*node.children[0], path, diagnostics);
       for (std::size_t i = 1; i < node.children.size(); ++i)
-        value = unify(value, eval(*node.children[i], path, faults), path, faults);
+        value = unify(value, evaluate_node(*node.children[i], path, diagnostics), path, diagnostics);
       return value;
     }
-    if (node.is_type<g::BoundRule>()) return bound(node, std::move(out), path, faults);
+    if (node.is_type<g::BoundRule>()) return bound(node, std::move(out), path, diagnostics);
     if (node.is_type<g::Text>()) {
       out->kind = Kind::string;
       out->text = unescape(node);
@@ -248,14 +255,14 @@
     if (node.is_type<g::Struct>()) {
       out->kind = Kind::structure;
       for (const auto &member : node.children) {
-        if (member->is_type<g::FieldRule>()) put(*out, *member, path, faults);
+        if (member->is_type<g::FieldRule>()) add_field(*out, *member, path, diagnostics);
         if (member->is_type<g::Ellipsis>()) out->open = true;
         if (member->is_type<g::Pattern>())
-          out->pattern = eval(*member->children[0], join(path, "[string]"), faults);
+          out->pattern = evaluate_node(*member->children[0], join_path(path, "[string]"), diagnostics);
       }
       if (out->pattern) {
         for (auto &[name, field] : out->fields)
-          field.value = unify(out->pattern, field.value, join(path, name), faults);
+          field.value = unify(out->pattern, field.value, join_path(path, name), diagnostics);
       }
       return out;
     }
@@ -264,87 +271,92 @@
       for (const auto &item : node.children) {
         std::string here = path + "[" + std::to_string(out->items.size()) + "]";
         if (out->rest)
-          stop(place(*item), path, "... as the last of a list", std::string(item->string_view()));
+          throw_error(location_of(*item), path, "... as the last of a list",
+                      std::string(item->string_view()));
         if (!item->is_type<g::Rest>()) {
-          out->items.push_back(eval(*item, here, faults));
+          out->items.push_back(evaluate_node(*item, here, diagnostics));
         } else {
-          out->rest =
-              item->children.empty() ? std::make_shared<Value>() : eval(*item->children[0], here, faults);
+          out->rest = item->children.empty() ? std::make_shared<Value>()
+                                             : evaluate_node(*item->children[0], here, diagnostics);
         }
       }
       return out;
     }
-    return reference(node, std::move(out), path, faults);
+    return reference(node, std::move(out), path, diagnostics);
   }
 
-  Ref bound(const Node &node, std::shared_ptr<Value> out, const std::string &path, Faults &faults) {
-    constexpr std::pair<std::string_view, Relation> kSigns[] = {
-        {">=", Relation::at_least},   {">", Relation::more_than},  {"<=", Relation::at_most},
-        {"<", Relation::less_than},   {"!=", Relation::not_equal}, {"=~", Relation::matches},
-        {"!~", Relation::matches_not}};
+  ValuePtr bound(const Node &node, std::shared_ptr<Value> out, const std::string &path,
+                 Diagnostics &diagnostics) {
+    constexpr std::pair<std::string_view, Relation> kOperators[] = {
+        {">=", Relation::greater_equal}, {">", Relation::greater},    {"<=", Relation::less_equal},
+        {"<", Relation::less},           {"!=", Relation::not_equal}, {"=~", Relation::matches},
+        {"!~", Relation::not_matches}};
     std::string_view sign = node.children[0]->string_view();
-    Ref operand = eval(*node.children[1], path, faults);
-    for (const auto &[text, relation] : kSigns) {
+    ValuePtr operand = evaluate_node(*node.children[1], path, diagnostics);
+    for (const auto &[text, relation] : kOperators) {
       if (text == sign) out->bounds.push_back({relation, operand});
     }
     bool by_text = sign == "=~" || sign == "!~";
     if (operand->kind == Kind::number) {
-      out->types = kNumber;
+      out->type_mask = kNumber;
     } else if (operand->kind == Kind::string) {
-      out->types = kString;
+      out->type_mask = kString;
     } else {
-      stop(out->place, path, "a number or a text after " + std::string(sign), describe(*operand));
+      throw_error(out->location, path, "a number or a text after " + std::string(sign), describe(*operand));
     }
-    if (sign == "!=") out->types = kAny;
-    if (by_text && operand->kind != Kind::string) stop(out->place, path, "a pattern", describe(*operand));
+    if (sign == "!=") out->type_mask = kAny;
+    if (by_text && operand->kind != Kind::string)
+      throw_error(out->location, path, "a pattern", describe(*operand));
     if (by_text && !RE2(operand->text, RE2::Quiet).ok())
-      stop(out->place, path, "a regular expression", describe(*operand));
+      throw_error(out->location, path, "a regular expression", describe(*operand));
     return out;
   }
 
-  Ref number(const Node &node, std::shared_ptr<Value> out, const std::string &path) {
+  ValuePtr number(const Node &node, std::shared_ptr<Value> out, const std::string &path) {
     out->kind = Kind::number;
     out->text = node.string();
-    out->whole = out->text.find_first_of(".eE") == std::string::npos;
+    out->is_int = out->text.find_first_of(".eE") == std::string::npos;
     auto [end, error] = std::from_chars(out->text.data(), out->text.data() + out->text.size(), out->number);
     if (error != std::errc() || !std::isfinite(out->number))
-      stop(out->place, path, "a number within a double's range", out->text);
-    if (out->whole && std::fabs(out->number) > 9007199254740992.0)
-      stop(out->place, path, "an int of 53 bits at most", out->text);
+      throw_error(out->location, path, "a number within a double's range", out->text);
+    if (out->is_int && std::fabs(out->number) > 9007199254740992.0)
+      throw_error(out->location, path, "an int of 53 bits at most", out->text);
     return out;
   }
 
-  Ref reference(const Node &node, std::shared_ptr<Value> out, const std::string &path, Faults &faults) {
+  ValuePtr reference(const Node &node, std::shared_ptr<Value> out, const std::string &path,
+                     Diagnostics &diagnostics) {
     std::string first(node.children[0]->string_view());
-    constexpr std::pair<std::string_view, unsigned> kTypes[] = {{"int", kInt},        {"number", kNumber},
-                                                                {"float", kFraction}, {"string", kString},
-                                                                {"bool", kBool},      {"_", kAny}};
+    constexpr std::pair<std::string_view, unsigned> kTypes[] = {{"int", kInt},     {"number", kNumber},
+                                                                {"float", kFloat}, {"string", kString},
+                                                                {"bool", kBool},   {"_", kAny}};
     if (node.children.size() == 1) {
-      for (const auto &[name, types] : kTypes) {
+      for (const auto &[name, type_mask] : kTypes) {
         if (name == first) {
-          out->types = types;
+          out->type_mask = type_mask;
           return out;
         }
       }
       if (first == "null" || first == "true" || first == "false") {
         out->kind = first == "null" ? Kind::null : Kind::boolean;
-        out->flag = first == "true";
+        out->boolean = first == "true";
         return out;
       }
     }
-    Ref value = definition(first, out->place, faults);
+    ValuePtr value = definition(first, out->location, diagnostics);
     for (std::size_t i = 1; i < node.children.size(); ++i) {
       auto it = value->fields.find(node.children[i]->string_view());
       if (it == value->fields.end())
-        stop(place(*node.children[i]), path, "a field of " + first, std::string(node.string_view()));
+        throw_error(location_of(*node.children[i]), path, "a field of " + first,
+                    std::string(node.string_view()));
       value = it->second.value;
     }
     return value;
   }
 
-  std::map<std::string, std::vector<Declaration>, std::less<>> top_;
-  std::map<std::string, Ref, std::less<>> settled_;
-  std::set<std::string, std::less<>> under_way_;
+  std::map<std::string, std::vector<Declaration>, std::less<>> declarations_;
+  std::map<std::string, ValuePtr, std::less<>> evaluated_;
+  std::set<std::string, std::less<>> in_progress_;
   std::vector<std::unique_ptr<tao::pegtl::memory_input<>>> inputs_;
   std::vector<std::unique_ptr<Node>> trees_;
 };
@@ -354,7 +366,7 @@
   double factor;
 };
 
-double parse_with(std::string_view text, std::span<const Unit> units) {
+double parse_quantity(std::string_view text, std::span<const Unit> units) {
   double value = 0;
   auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed);
@@ -371,27 +383,28 @@
 
 double parse_seconds(std::string_view text) {
   constexpr Unit kUnits[] = {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}};
-  return parse_with(text, kUnits);
+  return parse_quantity(text, kUnits);
 }
 
 double parse_rate(std::string_view text) {
   constexpr Unit kUnits[] = {{"kB/s", 1}, {"MB/s", 1000}, {"kbit/s", 0.125}, {"Mbit/s", 125}};
-  return parse_with(text, kUnits);
+  return parse_quantity(text, kUnits);
 }
 
-RecordError::RecordError(Faults all) : std::runtime_error(all_lines(all)), faults(std::move(all)) {}
+RecordError::RecordError(Diagnostics all)
+    : std::runtime_error(join_lines(all)), diagnostics(std::move(all)) {}
 
 Source load_file(const std::string &name) {
   std::ifstream file(name, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) {
     if (file && file.peek() == std::ifstream::traits_type::eof()) return {name, ""};
-    stop({name}, "", "a file that can be read", "none");
+    throw_error({name}, "", "a file that can be read", "none");
   }
   return {name, text.str()};
 }
 
-void write_whole(const std::string &name, const std::string &text) {
+void replace_file(const std::string &name, const std::string &text) {
   std::ofstream out(name + ".new");
   out << text;
   out.close();
@@ -399,96 +412,99 @@
     throw std::runtime_error("cannot write " + name);
 }
 
-Ref evaluate(std::span<const Source> files) {
-  Package package;
-  for (const Source &file : files) package.add(file, false);
-  Faults faults;
-  Ref value = package.body(false, faults);
-  if (!faults.empty()) throw RecordError(std::move(faults));
+ValuePtr evaluate(std::span<const Source> files) {
+  Evaluator evaluator;
+  for (const Source &file : files) evaluator.add(file, false);
+  Diagnostics diagnostics;
+  ValuePtr value = evaluator.body(false, diagnostics);
+  if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
   return value;
 }
 
 Record read(std::span<const Source> files, const Source &schema, std::string_view definition) {
-  Package package;
-  package.add(schema, true);
-  Faults faults;
+  Evaluator evaluator;
+  evaluator.add(schema, true);
+  Diagnostics diagnostics;
   for (const Source &file : files) { // a file that does not parse hides no other file's errors
     try {
-      package.add(file, false);
+      evaluator.add(file, false);
     } catch (const RecordError &error) {
-      faults.insert(faults.end(), error.faults.begin(), error.faults.end());
+      diagnostics.insert(diagnostics.end(), error.diagnostics.begin(), error.diagnostics.end());
     }
   }
-  if (!faults.empty()) throw RecordError(std::move(faults));
-  Ref wanted = package.definition(std::string(definition), {schema.name}, faults);
-  auto body = std::make_shared<Value>(*package.body(false, faults));
-  body->place = {files.empty() ? schema.name : files.front().name, 1, 1};
-  Ref value = unify(wanted, body, "", faults);
-  value = settle(value, "", faults);
-  if (!faults.empty()) throw RecordError(std::move(faults));
+  if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
+  ValuePtr wanted = evaluator.definition(std::string(definition), {schema.name}, diagnostics);
+  auto body = std::make_shared<Value>(*evaluator.body(false, diagnostics));
+  body->location = {files.empty() ? schema.name : files.front().name, 1, 1};
+  ValuePtr value = unify(wanted, body, "", diagnostics);
+  value = make_concrete(value, "", diagnostics);
+  if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
   return Record(value, "");
 }
 
-void Record::refuse(const std::string &path, const std::string &expected, const std::string &found) const {
-  stop(value_ ? value_->place : Place{}, path, expected, found);
+void Record::throw_mismatch(const std::string &path, const std::string &expected,
+                            const std::string &found) const {
+  throw_error(value_ ? value_->location : SourceLocation{}, path, expected, found);
 }
 
 bool Record::has(std::string_view name) const { return value_ && value_->fields.contains(name); }
 
 Record Record::at(std::string_view name) const {
-  std::string path = join(path_, std::string(name));
+  std::string path = join_path(path_, std::string(name));
   auto it = value_ ? value_->fields.find(name) : decltype(value_->fields.begin()){};
-  if (!value_ || it == value_->fields.end()) refuse(path, "a value", "none");
+  if (!value_ || it == value_->fields.end()) throw_mismatch(path, "a value", "none");
   return Record(it->second.value, path);
 }
 
 const Value &Record::field(std::string_view name, Value::Kind kind, const char *expected) const {
   Record one = at(name);
-  if (one.value_->kind != kind) one.refuse(one.path_, expected, describe(*one.value_));
+  if (one.value_->kind != kind) one.throw_mismatch(one.path_, expected, describe(*one.value_));
   return *value_->fields.find(name)->second.value;
 }
 
 double Record::number(std::string_view name) const { return at(name).as_number(); }
 double Record::as_number() const {
-  if (value_->kind != Kind::number) refuse(path_, "a number", describe(*value_));
+  if (value_->kind != Kind::number) throw_mismatch(path_, "a number", describe(*value_));
   return value_->number;
 }
 
-int Record::whole(std::string_view name) const {
+int Record::integer(std::string_view name) const {
   double value = number(name);
   if (value != std::floor(value) || std::fabs(value) > std::numeric_limits<int>::max())
-    at(name).refuse(join(path_, std::string(name)), "a whole number of 31 bits at most",
-                    describe(*at(name).value_));
+    at(name).throw_mismatch(join_path(path_, std::string(name)), "a whole number of 31 bits at most",
+                            describe(*at(name).value_));
   return static_cast<int>(value);
 }
 
-bool Record::flag(std::string_view name) const { return field(name, Kind::boolean, "true or false").flag; }
+bool Record::boolean(std::string_view name) const {
+  return field(name, Kind::boolean, "true or false").boolean;
+}
 std::string Record::text(std::string_view name) const { return at(name).as_text(); }
 std::string Record::as_text() const {
-  if (value_->kind != Kind::string) refuse(path_, "a text", describe(*value_));
+  if (value_->kind != Kind::string) throw_mismatch(path_, "a text", describe(*value_));
   return value_->text;
 }
 
 double Record::seconds(std::string_view name) const {
   double value = parse_seconds(text(name));
   if (std::isnan(value))
-    at(name).refuse(join(path_, std::string(name)), "a duration such as \"800ms\"",
-                    describe(*at(name).value_));
+    at(name).throw_mismatch(join_path(path_, std::string(name)), "a duration such as \"800ms\"",
+                            describe(*at(name).value_));
   return value;
 }
 
 double Record::rate(std::string_view name) const { return at(name).as_rate(); }
 double Record::as_rate() const {
   double value = parse_rate(as_text());
-  if (std::isnan(value)) refuse(path_, "a rate such as \"450kB/s\"", describe(*value_));
+  if (std::isnan(value)) throw_mismatch(path_, "a rate such as \"450kB/s\"", describe(*value_));
   return value;
 }
 
 std::vector<Record> Record::items(std::string_view name) const {
   const Value &list = field(name, Kind::list, "a list");
   std::vector<Record> out;
-  for (const Ref &item : list.items)
-    out.emplace_back(item, join(path_, std::string(name)) + "[" + std::to_string(out.size()) + "]");
+  for (const ValuePtr &item : list.items)
+    out.emplace_back(item, join_path(path_, std::string(name)) + "[" + std::to_string(out.size()) + "]");
   return out;
 }
 
@@ -501,7 +517,7 @@
 std::vector<std::pair<std::string, Record>> Record::fields() const {
   std::vector<std::pair<std::string, Record>> out;
   for (const auto &[name, field] : value_->fields)
-    out.emplace_back(name, Record(field.value, join(path_, name)));
+    out.emplace_back(name, Record(field.value, join_path(path_, name)));
   return out;
 }
 
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -20,20 +20,20 @@
 };
 
 struct RecordError : std::runtime_error { // what() has one line a fault
-  explicit RecordError(Faults all);
-  Faults faults;
+  explicit RecordError(Diagnostics all);
+  Diagnostics diagnostics;
 };
 
 // A settled value and where it stands; reads throw RecordError naming the path.
 class Record {
  public:
   Record() = default;
-  Record(Ref value, std::string path) : value_(std::move(value)), path_(std::move(path)) {}
+  Record(ValuePtr value, std::string path) : value_(std::move(value)), path_(std::move(path)) {}
   bool has(std::string_view name) const;
   Record at(std::string_view name) const;
   double number(std::string_view name) const;
-  int whole(std::string_view name) const;
-  bool flag(std::string_view name) const;
+  int integer(std::string_view name) const;
+  bool boolean(std::string_view name) const;
   std::string text(std::string_view name) const;
   double seconds(std::string_view name) const; // "800ms", "2s", "1m"
   double rate(std::string_view name) const;    // "450kB/s", "2MB/s": kB a second
@@ -48,9 +48,9 @@
 
  private:
   const Value &field(std::string_view name, Value::Kind kind, const char *expected) const;
-  [[noreturn]] void refuse(const std::string &path, const std::string &expected,
-                           const std::string &found) const;
-  Ref value_;
+  [[noreturn]] void throw_mismatch(const std::string &path, const std::string &expected,
+                                   const std::string &found) const;
+  ValuePtr value_;
   std::string path_;
 };
 
@@ -58,12 +58,12 @@
 Record read(std::span<const Source> files, const Source &schema, std::string_view definition);
 
 // The same without a schema or settling, for tests and fuzzing: the files' unified value.
-Ref evaluate(std::span<const Source> files);
+ValuePtr evaluate(std::span<const Source> files);
 
 Source load_file(const std::string &name); // throws RecordError when it cannot be read
 
 // Written whole beside and renamed over; throws std::runtime_error naming the file.
-void write_whole(const std::string &name, const std::string &text);
+void replace_file(const std::string &name, const std::string &text);
 
 double parse_seconds(std::string_view text); // NaN where it is no duration
 double parse_rate(std::string_view text);    // NaN where it is no rate
--- a/src/records/value.cpp
+++ b/src/records/value.cpp
@@ -28,34 +28,34 @@
   return out + "\"";
 }
 
-const char *sign(Relation relation) {
+const char *operator_text(Relation relation) {
   switch (relation) {
-  case Relation::at_least:
+  case Relation::greater_equal:
     return ">=";
-  case Relation::more_than:
+  case Relation::greater:
     return ">";
-  case Relation::at_most:
+  case Relation::less_equal:
     return "<=";
-  case Relation::less_than:
+  case Relation::less:
     return "<";
   case Relation::not_equal:
     return "!=";
   case Relation::matches:
     return "=~";
-  case Relation::matches_not:
+  case Relation::not_matches:
     return "!~";
   }
   return "";
 }
 
-unsigned type_of(const Value &v) {
+unsigned type_bit_of(const Value &v) {
   switch (v.kind) {
   case Kind::null:
     return kNull;
   case Kind::boolean:
     return kBool;
   case Kind::number:
-    return v.whole ? kInt : kFraction;
+    return v.is_int ? kInt : kFloat;
   case Kind::string:
     return kString;
   default:
@@ -63,7 +63,7 @@
   }
 }
 
-bool holds(const Value &v, const Bound &bound) {
+bool satisfies(const Value &v, const Bound &bound) {
   const Value &o = *bound.operand;
   bool numbers = v.kind == Kind::number && o.kind == Kind::number;
   bool strings = v.kind == Kind::string && o.kind == Kind::string;
@@ -72,7 +72,7 @@
     return !equal(v, o);
   case Relation::matches:
     return strings && RE2::PartialMatch(v.text, o.text);
-  case Relation::matches_not:
+  case Relation::not_matches:
     return strings && !RE2::PartialMatch(v.text, o.text);
   default:
     break;
@@ -80,89 +80,93 @@
   if (!numbers && !strings) return false;
   int order = numbers ? (v.number < o.number ? -1 : v.number > o.number) : v.text.compare(o.text);
   switch (bound.relation) {
-  case Relation::at_least:
+  case Relation::greater_equal:
     return order >= 0;
-  case Relation::more_than:
+  case Relation::greater:
     return order > 0;
-  case Relation::at_most:
+  case Relation::less_equal:
     return order <= 0;
   default:
     return order < 0;
   }
 }
 
-Ref bottom(const Place &place) {
+ValuePtr bottom(const SourceLocation &location) {
   auto v = std::make_shared<Value>();
   v->kind = Kind::bottom;
-  v->place = place;
+  v->location = location;
   return v;
 }
 
-Ref clash(const Ref &a, const Ref &b, const std::string &path, Faults &faults) {
+ValuePtr conflict(const ValuePtr &a, const ValuePtr &b, const std::string &path, Diagnostics &diagnostics) {
   // The later written of the two is what a user has in hand; the other says what was expected.
-  const Ref &found = a->concrete() && !b->concrete() ? a : b;
-  const Ref &wanted = found == a ? b : a;
-  faults.push_back({found->place, path, describe(*wanted), describe(*found)});
-  return bottom(found->place);
+  const ValuePtr &found = a->is_concrete() && !b->is_concrete() ? a : b;
+  const ValuePtr &wanted = found == a ? b : a;
+  diagnostics.push_back({found->location, path, describe(*wanted), describe(*found)});
+  return bottom(found->location);
 }
 
-Ref meet_constraint(const Ref &constraint, const Ref &v, const std::string &path, Faults &faults) {
+ValuePtr unify_constraint(const ValuePtr &constraint, const ValuePtr &v, const std::string &path,
+                          Diagnostics &diagnostics) {
   if (v->kind == Kind::constraint) {
     auto both = std::make_shared<Value>(*constraint);
-    both->types &= v->types;
+    both->type_mask &= v->type_mask;
     both->bounds.insert(both->bounds.end(), v->bounds.begin(), v->bounds.end());
-    if (!both->types) return clash(constraint, v, path, faults);
+    if (!both->type_mask) return conflict(constraint, v, path, diagnostics);
     return both;
   }
   if (v->kind == Kind::list || v->kind == Kind::structure) {
-    if (constraint->types == kAny && constraint->bounds.empty()) return v;
-    return clash(constraint, v, path, faults);
+    if (constraint->type_mask == kAny && constraint->bounds.empty()) return v;
+    return conflict(constraint, v, path, diagnostics);
   }
-  bool fits = (type_of(*v) & constraint->types) != 0;
-  for (const Bound &bound : constraint->bounds) fits = fits && holds(*v, bound);
-  return fits ? v : clash(constraint, v, path, faults);
+  bool fits = (type_bit_of(*v) & constraint->type_mask) != 0;
+  for (const Bound &bound : constraint->bounds) fits = fits && satisfies(*v, bound);
+  return fits ? v : conflict(constraint, v, path, diagnostics);
 }
 
-Ref meet_lists(const Ref &a, const Ref &b, const std::string &path, Faults &faults) {
+ValuePtr unify_lists(const ValuePtr &a, const ValuePtr &b, const std::string &path,
+                     Diagnostics &diagnostics) {
   auto out = std::make_shared<Value>();
   out->kind = Kind::list;
-  out->place = b->place;
+  out->location = b->location;
   std::size_t size = std::max(a->items.size(), b->items.size());
   for (std::size_t i = 0; i < size; ++i) {
-    const Ref &x = i < a->items.size() ? a->items[i] : a->rest;
-    const Ref &y = i < b->items.size() ? b->items[i] : b->rest;
+    const ValuePtr &x = i < a->items.size() ? a->items[i] : a->rest;
+    const ValuePtr &y = i < b->items.size() ? b->items[i] : b->rest;
     std::string here = path + "[" + std::to_string(i) + "]";
     if (!x || !y) {
       const Value &longer = x ? *a : *b, &shorter = x ? *b : *a;
-      faults.push_back({longer.items[i]->place, path, "a list of " + std::to_string(shorter.items.size()),
-                        "a list of " + std::to_string(longer.items.size())});
-      return bottom(b->place);
+      diagnostics.push_back({longer.items[i]->location, path,
+                             "a list of " + std::to_string(shorter.items.size()),
+                             "a list of " + std::to_string(longer.items.size())});
+      return bottom(b->location);
     }
-    out->items.push_back(unify(x, y, here, faults));
+    out->items.push_back(unify(x, y, here, diagnostics));
   }
-  if (a->rest && b->rest) out->rest = unify(a->rest, b->rest, path + "[...]", faults);
+  if (a->rest && b->rest) out->rest = unify(a->rest, b->rest, path + "[...]", diagnostics);
   return out;
 }
 
-void admit(const Value &to, const Value &from, const std::string &path, Faults &faults) {
+void check_closed(const Value &to, const Value &from, const std::string &path, Diagnostics &diagnostics) {
   if (!to.closed || to.pattern) return;
   for (const auto &[name, field] : from.fields) {
     if (field.kind == FieldKind::regular && !to.fields.contains(name)) {
       std::string known;
       for (const auto &[other, unused] : to.fields) known += (known.empty() ? "" : ", ") + other;
-      faults.push_back({field.value->place, join(path, name), "one of the fields " + known,
-                        "the field " + name + ", which is not allowed"});
+      diagnostics.push_back({field.value->location, join_path(path, name), "one of the fields " + known,
+                             "the field " + name + ", which is not allowed"});
     }
   }
 }
 
-Ref meet_structures(const Ref &a, const Ref &b, const std::string &path, Faults &faults) {
-  admit(*a, *b, path, faults);
-  admit(*b, *a, path, faults);
+ValuePtr unify_structures(const ValuePtr &a, const ValuePtr &b, const std::string &path,
+                          Diagnostics &diagnostics) {
+  check_closed(*a, *b, path, diagnostics);
+  check_closed(*b, *a, path, diagnostics);
   auto out = std::make_shared<Value>(*a);
   out->closed = a->closed || b->closed;
   out->open = a->open && b->open;
-  out->place = b->place.line ? b->place : a->place;
+  out->location = b->location.line ? b->location : a->location;
   for (const auto &[name, theirs] : b->fields) {
     auto [it, added] = out->fields.try_emplace(name, theirs);
     if (added) continue;
@@ -172,86 +176,88 @@
     } else if (theirs.kind == FieldKind::required) {
       ours.kind = FieldKind::required;
     }
-    ours.value = unify(ours.value, theirs.value, join(path, name), faults);
+    ours.value = unify(ours.value, theirs.value, join_path(path, name), diagnostics);
   }
-  if (b->pattern) out->pattern = a->pattern ? unify(a->pattern, b->pattern, path + ".*", faults) : b->pattern;
+  if (b->pattern)
+    out->pattern = a->pattern ? unify(a->pattern, b->pattern, path + ".*", diagnostics) : b->pattern;
   if (out->pattern) {
     for (auto &[name, field] : out->fields)
-      field.value = unify(out->pattern, field.value, join(path, name), faults);
+      field.value = unify(out->pattern, field.value, join_path(path, name), diagnostics);
   }
   return out;
 }
 
-Ref meet_choice(const Ref &choice, const Ref &v, const std::string &path, Faults &faults) {
+ValuePtr unify_disjunction(const ValuePtr &choice, const ValuePtr &v, const std::string &path,
+                           Diagnostics &diagnostics) {
   auto out = std::make_shared<Value>();
-  out->kind = Kind::choice;
-  out->place = v->place.line ? v->place : choice->place;
-  auto keep = [&](Ref value, bool preferred) {
-    for (Alternative &there : out->alternatives) {
+  out->kind = Kind::disjunction;
+  out->location = v->location.line ? v->location : choice->location;
+  auto keep = [&](ValuePtr value, bool is_default) {
+    for (Disjunct &there : out->disjuncts) {
       if (equal(*there.value, *value)) {
-        there.preferred = there.preferred || preferred;
+        there.is_default = there.is_default || is_default;
         return;
       }
     }
-    out->alternatives.push_back({std::move(value), preferred});
+    out->disjuncts.push_back({std::move(value), is_default});
   };
   bool v_has_default =
-      v->kind == Kind::choice && std::ranges::any_of(v->alternatives, [](auto &a) { return a.preferred; });
-  bool ours_has = std::ranges::any_of(choice->alternatives, [](auto &a) { return a.preferred; });
-  Faults last;
-  for (const Alternative &ours : choice->alternatives) {
-    if (v->kind == Kind::choice) {
-      for (const Alternative &theirs : v->alternatives) {
-        Faults own;
-        Ref both = unify(ours.value, theirs.value, path, own);
-        bool preferred = (ours.preferred || !ours_has) && (theirs.preferred || !v_has_default);
-        if (own.empty()) keep(both, preferred && (ours_has || v_has_default));
+      v->kind == Kind::disjunction && std::ranges::any_of(v->disjuncts, [](auto &a) { return a.is_default; });
+  bool ours_has = std::ranges::any_of(choice->disjuncts, [](auto &a) { return a.is_default; });
+  Diagnostics last;
+  for (const Disjunct &ours : choice->disjuncts) {
+    if (v->kind == Kind::disjunction) {
+      for (const Disjunct &theirs : v->disjuncts) {
+        Diagnostics own;
+        ValuePtr both = unify(ours.value, theirs.value, path, own);
+        bool is_default = (ours.is_default || !ours_has) && (theirs.is_default || !v_has_default);
+        if (own.empty()) keep(both, is_default && (ours_has || v_has_default));
         last = std::move(own);
       }
       continue;
     }
-    Faults own;
-    Ref both = unify(ours.value, v, path, own);
-    if (own.empty()) keep(both, ours.preferred);
+    Diagnostics own;
+    ValuePtr both = unify(ours.value, v, path, own);
+    if (own.empty()) keep(both, ours.is_default);
     // A structure's own faults say more than "none of these".
     if (!own.empty() && (last.empty() || ours.value->kind == v->kind)) last = std::move(own);
   }
-  if (out->alternatives.empty()) {
+  if (out->disjuncts.empty()) {
     if ((v->kind == Kind::structure || v->kind == Kind::list) && !last.empty()) {
-      faults.insert(faults.end(), last.begin(), last.end());
-      return bottom(v->place);
+      diagnostics.insert(diagnostics.end(), last.begin(), last.end());
+      return bottom(v->location);
     }
-    return clash(choice, v, path, faults);
+    return conflict(choice, v, path, diagnostics);
   }
-  if (out->alternatives.size() == 1) return out->alternatives[0].value;
+  if (out->disjuncts.size() == 1) return out->disjuncts[0].value;
   return out;
 }
 
 } // namespace
 
-std::string join(const std::string &path, const std::string &name) {
+std::string join_path(const std::string &path, const std::string &name) {
   return path.empty() ? name : path + "." + name;
 }
 
-std::string Fault::text() const {
-  std::string out = place.file;
-  if (place.line) out += ":" + std::to_string(place.line) + ":" + std::to_string(place.column);
+std::string Diagnostic::text() const {
+  std::string out = location.file;
+  if (location.line) out += ":" + std::to_string(location.line) + ":" + std::to_string(location.column);
   if (!path.empty()) out += ": " + path;
   return out + ": expected " + expected + ", found " + found;
 }
 
-bool Value::concrete() const {
-  return kind != Kind::constraint && kind != Kind::choice && kind != Kind::bottom;
+bool Value::is_concrete() const {
+  return kind != Kind::constraint && kind != Kind::disjunction && kind != Kind::bottom;
 }
 
 bool equal(const Value &a, const Value &b) {
   if (a.kind != b.kind) return false;
-  auto same = [](const Ref &x, const Ref &y) { return (!x && !y) || (x && y && equal(*x, *y)); };
+  auto same = [](const ValuePtr &x, const ValuePtr &y) { return (!x && !y) || (x && y && equal(*x, *y)); };
   switch (a.kind) {
   case Kind::boolean:
-    return a.flag == b.flag;
+    return a.boolean == b.boolean;
   case Kind::number:
-    return a.number == b.number && a.whole == b.whole;
+    return a.number == b.number && a.is_int == b.is_int;
   case Kind::string:
     return a.text == b.text;
   case Kind::list:
@@ -263,71 +269,73 @@
                     same(x.second.value, y.second.value);
            });
   case Kind::constraint:
-    return a.types == b.types && std::ranges::equal(a.bounds, b.bounds, [&](auto &x, auto &y) {
+    return a.type_mask == b.type_mask && std::ranges::equal(a.bounds, b.bounds, [&](auto &x, auto &y) {
              return x.relation == y.relation && same(x.operand, y.operand);
            });
-  case Kind::choice:
-    return std::ranges::equal(a.alternatives, b.alternatives, [&](auto &x, auto &y) {
-      return x.preferred == y.preferred && same(x.value, y.value);
+  case Kind::disjunction:
+    return std::ranges::equal(a.disjuncts, b.disjuncts, [&](auto &x, auto &y) {
+      return x.is_default == y.is_default && same(x.value, y.value);
     });
   default:
     return true;
   }
 }
 
-Ref unify(const Ref &a, const Ref &b, const std::string &path, Faults &faults) {
+ValuePtr unify(const ValuePtr &a, const ValuePtr &b, const std::string &path, Diagnostics &diagnostics) {
   if (a == b) return a;
   if (a->kind == Kind::bottom) return a; // its fault has been told
   if (b->kind == Kind::bottom) return b;
-  if (a->kind == Kind::choice) return meet_choice(a, b, path, faults);
-  if (b->kind == Kind::choice) return meet_choice(b, a, path, faults);
-  if (a->kind == Kind::constraint) return meet_constraint(a, b, path, faults);
-  if (b->kind == Kind::constraint) return meet_constraint(b, a, path, faults);
-  if (a->kind != b->kind) return clash(a, b, path, faults);
-  if (a->kind == Kind::list) return meet_lists(a, b, path, faults);
-  if (a->kind == Kind::structure) return meet_structures(a, b, path, faults);
-  return equal(*a, *b) ? b : clash(a, b, path, faults);
+  if (a->kind == Kind::disjunction) return unify_disjunction(a, b, path, diagnostics);
+  if (b->kind == Kind::disjunction) return unify_disjunction(b, a, path, diagnostics);
+  if (a->kind == Kind::constraint) return unify_constraint(a, b, path, diagnostics);
+  if (b->kind == Kind::constraint) return unify_constraint(b, a, path, diagnostics);
+  if (a->kind != b->kind) return conflict(a, b, path, diagnostics);
+  if (a->kind == Kind::list) return unify_lists(a, b, path, diagnostics);
+  if (a->kind == Kind::structure) return unify_structures(a, b, path, diagnostics);
+  return equal(*a, *b) ? b : conflict(a, b, path, diagnostics);
 }
 
-Ref close(const Ref &value) {
+ValuePtr close(const ValuePtr &value) {
   auto out = std::make_shared<Value>(*value);
   if (out->kind == Kind::structure && !out->open) out->closed = true;
-  for (Ref &item : out->items) item = close(item);
+  for (ValuePtr &item : out->items) item = close(item);
   if (out->rest) out->rest = close(out->rest);
   if (out->pattern) out->pattern = close(out->pattern);
   for (auto &[name, field] : out->fields) field.value = close(field.value);
-  for (Alternative &one : out->alternatives) one.value = close(one.value);
+  for (Disjunct &one : out->disjuncts) one.value = close(one.value);
   return out;
 }
 
-Ref settle(const Ref &value, const std::string &path, Faults &faults, const Place &within) {
+ValuePtr make_concrete(const ValuePtr &value, const std::string &path, Diagnostics &diagnostics,
+                       const SourceLocation &within) {
   auto open = [&](const std::string &what) {
     // What is missing is missing in the struct that was written, not in the schema that asks for it.
-    faults.push_back({within.line ? within : value->place, path, what, "nothing that settles it"});
-    return bottom(value->place);
+    diagnostics.push_back({within.line ? within : value->location, path, what, "nothing that settles it"});
+    return bottom(value->location);
   };
   if (value->kind == Kind::constraint) return open(describe(*value));
-  if (value->kind == Kind::choice) {
-    std::vector<Ref> candidates;
-    for (const Alternative &one : value->alternatives) {
-      if (one.preferred) candidates.push_back(one.value);
+  if (value->kind == Kind::disjunction) {
+    std::vector<ValuePtr> candidates;
+    for (const Disjunct &one : value->disjuncts) {
+      if (one.is_default) candidates.push_back(one.value);
     }
     if (candidates.size() != 1) return open(describe(*value));
-    return settle(candidates[0], path, faults, within);
+    return make_concrete(candidates[0], path, diagnostics, within);
   }
   auto out = std::make_shared<Value>(*value);
   out->rest = out->pattern = nullptr;
   for (std::size_t i = 0; i < out->items.size(); ++i)
-    out->items[i] = settle(out->items[i], path + "[" + std::to_string(i) + "]", faults, value->place);
+    out->items[i] =
+        make_concrete(out->items[i], path + "[" + std::to_string(i) + "]", diagnostics, value->location);
   std::erase_if(out->fields, [](const auto &f) {
     return f.second.kind == FieldKind::optional || f.first.starts_with('#');
   });
   for (auto &[name, field] : out->fields) {
-    std::string here = join(path, name);
+    std::string here = join_path(path, name);
     if (field.kind == FieldKind::required)
-      faults.push_back({value->place, here, describe(*field.value), "no such field"});
+      diagnostics.push_back({value->location, here, describe(*field.value), "no such field"});
     else
-      field.value = settle(field.value, here, faults, value->place);
+      field.value = make_concrete(field.value, here, diagnostics, value->location);
   }
   return out;
 }
@@ -339,7 +347,7 @@
   case Kind::null:
     return "null";
   case Kind::boolean:
-    return v.flag ? "true" : "false";
+    return v.boolean ? "true" : "false";
   case Kind::number:
     return v.text;
   case Kind::string:
@@ -348,10 +356,10 @@
     return "a list";
   case Kind::structure:
     return "a struct";
-  case Kind::choice: {
+  case Kind::disjunction: {
     std::string out;
-    for (const Alternative &one : v.alternatives)
-      out += (out.empty() ? "" : " | ") + std::string(one.preferred ? "*" : "") + describe(*one.value);
+    for (const Disjunct &one : v.disjuncts)
+      out += (out.empty() ? "" : " | ") + std::string(one.is_default ? "*" : "") + describe(*one.value);
     return out;
   }
   case Kind::constraint:
@@ -359,16 +367,16 @@
   }
   std::string out;
   constexpr std::pair<unsigned, const char *> kNames[] = {
-      {kNumber, "number"}, {kInt, "int"}, {kFraction, "float"}, {kString, "string"}, {kBool, "bool"}};
-  if (v.types == kAny) {
+      {kNumber, "number"}, {kInt, "int"}, {kFloat, "float"}, {kString, "string"}, {kBool, "bool"}};
+  if (v.type_mask == kAny) {
     if (v.bounds.empty()) out = "_";
   } else {
-    for (const auto &[types, name] : kNames) {
-      if (v.types == types) out = name;
+    for (const auto &[type_mask, name] : kNames) {
+      if (v.type_mask == type_mask) out = name;
     }
   }
   for (const Bound &bound : v.bounds)
-    out += (out.empty() ? "" : " & ") + std::string(sign(bound.relation)) + describe(*bound.operand);
+    out += (out.empty() ? "" : " & ") + std::string(operator_text(bound.relation)) + describe(*bound.operand);
   return out;
 }
 
@@ -384,7 +392,7 @@
   if (v.kind == Kind::list) {
     if (v.items.empty()) return "[]";
     std::string out = "[\n";
-    for (const Ref &item : v.items) out += pad + "  " + render(*item, indent + 1) + ",\n";
+    for (const ValuePtr &item : v.items) out += pad + "  " + render(*item, indent + 1) + ",\n";
     return out + pad + "]";
   }
   return describe(v);
--- a/src/site/front_record.cpp
+++ b/src/site/front_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using records::Fault;
+using records::Diagnostic;
 using records::Record;
 
 constexpr const char *kSchema = R"cue(
@@ -149,14 +149,14 @@
   void expect(bool holds, const Record &where, std::string_view name, const std::string &expected) {
     if (holds) return;
     Record one = where.at(name);
-    faults_.push_back({one.value().place, one.path(), expected, records::describe(one.value())});
+    faults_.push_back({one.value().location, one.path(), expected, records::describe(one.value())});
   }
   void finish() {
     if (!faults_.empty()) throw records::RecordError(std::move(faults_));
   }
 
  private:
-  records::Faults faults_;
+  records::Diagnostics faults_;
 };
 
 void check_together(const Record &front) {
@@ -176,15 +176,15 @@
     cross.expect(product.seconds("first_frame_target") <= product.seconds("time_limit"), product,
                  "first_frame_target", "a first-frame target within the time limit");
     cross.expect(product.seconds("first_frame_target") > 0, product, "first_frame_target", "a time above 0");
-    cross.expect(product.whole("top") <= top, product, "top",
+    cross.expect(product.integer("top") <= top, product, "top",
                  "a rung of the ladder, " + std::to_string(top) + " at most");
-    cross.expect(product.whole("floor") <= product.whole("top"), product, "floor",
+    cross.expect(product.integer("floor") <= product.integer("top"), product, "floor",
                  "a floor no higher than the top");
   }
-  cross.expect(front.whole("index") < front.whole("fronts"), front, "index",
+  cross.expect(front.integer("index") < front.integer("fronts"), front, "index",
                "an index below the number of fronts");
   Record fleet = front.at("fleet"), rules = front.at("rules"), limits = front.at("limits");
-  cross.expect(fleet.whole("racks") <= fleet.whole("cells"), fleet, "racks", "no more racks than cells");
+  cross.expect(fleet.integer("racks") <= fleet.integer("cells"), fleet, "racks", "no more racks than cells");
   cross.expect(fleet.rate("link_per_weight") > 0, fleet, "link_per_weight", "a rate above 0");
   cross.expect(rules.seconds("fall_span") > 0, rules, "fall_span", "a time above 0");
   cross.expect(limits.seconds("lost_after") >= limits.seconds("report_silence"), limits, "lost_after",
@@ -198,12 +198,12 @@
     for (const Record &one : record.items(name)) out.push_back(one.as_text());
     return out;
   };
-  auto size = [&](const char *name) { return static_cast<std::size_t>(record.whole(name)); };
+  auto size = [&](const char *name) { return static_cast<std::size_t>(record.integer(name)); };
   ManagementTerms out;
   out.listen = record.text("listen"), out.store = record.text("store");
   out.certificate = record.text("certificate"), out.key = record.text("key");
   out.client_authority = record.text("client_authority");
-  out.plaintext = record.flag("plaintext");
+  out.plaintext = record.boolean("plaintext");
   out.readers = names("readers"), out.setters = names("setters");
   out.sets_waiting = size("sets_waiting"), out.streams = size("streams");
   out.history = size("history");
@@ -297,7 +297,7 @@
   }
   put(given::kLoadComesWith, load.text("comes_with"));
   put_list(given::kLoadFields, load.items("fields"), [](const Record &r) { return r.as_text(); });
-  put_number(given::kMayProbe, load.flag("may_probe"));
+  put_number(given::kMayProbe, load.boolean("may_probe"));
   put_number(given::kMayRecall, 1);
   put_number(given::kMayAdviseReturn, 1);
   put_number(given::kNoteDelay, load.seconds("note_delay"));
@@ -321,8 +321,8 @@
   check_together(front);
   FrontRecord out;
   out.name = front.text("name");
-  out.index = front.whole("index");
-  out.fronts = front.whole("fronts");
+  out.index = front.integer("index");
+  out.fronts = front.integer("fronts");
   out.seed = static_cast<std::uint64_t>(front.number("seed"));
   Record listen = front.at("listen"), list = front.at("list"), limits = front.at("limits"),
          log = front.at("log");
@@ -331,7 +331,7 @@
     out.operators = parse_endpoint(listen.text("operators"));
   } catch (const std::invalid_argument &error) {
     throw records::RecordError(
-        {{listen.value().place, listen.path(), "addresses to listen on", error.what()}});
+        {{listen.value().location, listen.path(), "addresses to listen on", error.what()}});
   }
   out.ports_file = listen.text("ports_file");
   out.list_file = list.text("file");
@@ -340,26 +340,26 @@
   for (const Record &kind : front.at("fleet").items("kinds")) out.kinds.push_back(kind.text("name"));
   for (const Record &product : front.items("products"))
     out.products.push_back({product.text("name"), product.seconds("time_limit"),
-                            product.number("rate_factor"), product.whole("floor"), product.whole("top"),
-                            product.whole("seats")});
+                            product.number("rate_factor"), product.integer("floor"), product.integer("top"),
+                            product.integer("seats")});
   for (const Record &rung : front.items("rungs")) out.rung_rates.push_back(rung.rate("rate"));
   out.load_in_answers = front.at("load").text("comes_with") == "answers";
   out.answer_slack = front.at("rules").seconds("answer_slack");
   out.further_span = front.at("allocations").at("further").seconds("span");
-  out.take_plays = front.flag("take_plays");
+  out.take_plays = front.boolean("take_plays");
   out.management = management_terms(front.at("management"));
   FrontLimits &l = out.limits;
-  l.players.read.header_bytes = static_cast<std::size_t>(limits.whole("header_bytes"));
-  l.players.read.body_bytes = static_cast<std::size_t>(limits.whole("body_bytes"));
-  l.players.connections = static_cast<std::size_t>(limits.whole("connections"));
+  l.players.read.header_bytes = static_cast<std::size_t>(limits.integer("header_bytes"));
+  l.players.read.body_bytes = static_cast<std::size_t>(limits.integer("body_bytes"));
+  l.players.connections = static_cast<std::size_t>(limits.integer("connections"));
   l.players.header_time = limits.seconds("header_time");
   l.players.idle_time = limits.seconds("idle_time");
   l.players.write_time = limits.seconds("write_time");
-  l.servers.per_server = static_cast<std::size_t>(limits.whole("server_connections"));
-  l.servers.in_all = static_cast<std::size_t>(limits.whole("all_connections"));
+  l.servers.per_server = static_cast<std::size_t>(limits.integer("server_connections"));
+  l.servers.in_all = static_cast<std::size_t>(limits.integer("all_connections"));
   l.servers.connect_time = limits.seconds("connect_time");
   l.servers.late_time = limits.seconds("late_time");
-  l.open_plays = static_cast<std::size_t>(limits.whole("open_plays"));
+  l.open_plays = static_cast<std::size_t>(limits.integer("open_plays"));
   l.probe_time = limits.seconds("probe_time");
   l.report_silence = limits.seconds("report_silence");
   l.lost_after = limits.seconds("lost_after");
@@ -373,12 +373,12 @@
 
 FrontRecord load_front(const std::vector<std::string> &names) {
   std::vector<records::Source> files;
-  records::Faults faults;
+  records::Diagnostics faults;
   for (const std::string &name : names) {
     try {
       files.push_back(records::load_file(name));
     } catch (const records::RecordError &error) {
-      faults.insert(faults.end(), error.faults.begin(), error.faults.end());
+      faults.insert(faults.end(), error.diagnostics.begin(), error.diagnostics.end());
     }
   }
   if (!faults.empty()) throw records::RecordError(std::move(faults));
--- a/tests/fuzz/fuzz_records.cpp
+++ b/tests/fuzz/fuzz_records.cpp
@@ -9,15 +9,15 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
   Source files[] = {{"fuzz.cue", std::string(reinterpret_cast<const char *>(data), size)}};
   try {
-    Ref value = evaluate(files);
-    Faults faults;
-    Ref settled = settle(value, "", faults);
-    if (!faults.empty()) return 0;
+    ValuePtr value = evaluate(files);
+    Diagnostics diagnostics;
+    ValuePtr settled = make_concrete(value, "", diagnostics);
+    if (!diagnostics.empty()) return 0;
     Source again[] = {{"again.cue", render(*settled)}};
-    Faults none;
-    if (!equal(*settle(evaluate(again), "", none), *settled) || !none.empty()) std::abort();
+    Diagnostics none;
+    if (!equal(*make_concrete(evaluate(again), "", none), *settled) || !none.empty()) std::abort();
   } catch (const RecordError &error) {
-    if (error.faults.empty()) std::abort();
+    if (error.diagnostics.empty()) std::abort();
   }
   return 0;
 }
--- a/tests/records/test_records.cpp
+++ b/tests/records/test_records.cpp
@@ -29,7 +29,7 @@
   return read(files, {"schema", kSchema}, "#Main");
 }
 
-static std::string faults_of(const std::string &text) {
+static std::string error_text_of(const std::string &text) {
   try {
     read_text(text);
   } catch (const RecordError &error) {
@@ -42,17 +42,17 @@
   Record r =
       read_text("// a comment\nport: 8080\nproducts: [{name: \"live\", target: \"800ms\"}, {name: \"x\"}]\n"
                 "limits: open: 5, titles: \"t 1\": cell: 3\nextra: true");
-  CHECK(r.whole("port") == 8080);
+  CHECK(r.integer("port") == 8080);
   CHECK(r.number("share") == 0.2);
   CHECK(r.text("mode") == "push");
   CHECK(r.items("products").size() == 2);
   CHECK(r.items("products")[0].seconds("target") == Approx(0.8));
-  CHECK(r.items("products")[1].whole("floor") == 0);
-  CHECK(r.at("limits").whole("open") == 5);
+  CHECK(r.items("products")[1].integer("floor") == 0);
+  CHECK(r.at("limits").integer("open") == 5);
   CHECK(r.at("titles").fields()[0].first == "t 1");
-  CHECK(r.flag("extra"));
+  CHECK(r.boolean("extra"));
   CHECK(!read_text("port: 1").has("extra"));
-  CHECK(read_text(R"({"port": 1, "products": [], "limits": {"open": 7}})").at("limits").whole("open") == 7);
+  CHECK(read_text(R"({"port": 1, "products": [], "limits": {"open": 7}})").at("limits").integer("open") == 7);
 }
 
 TEST_CASE("every fault names file, line, path, what was expected and what stands there; all at once") {
@@ -84,29 +84,29 @@
            Row{"mode: \"\\ud800\"", {"a Unicode character"}},
        }) {
     CAPTURE(row.text);
-    std::string said = faults_of(row.text);
+    std::string said = error_text_of(row.text);
     for (const char *part : row.says) {
       CAPTURE(said, part);
       CHECK(said.find(part) != std::string::npos);
     }
   }
   std::string deep(100000, '{');
-  CHECK(faults_of("port: " + deep).find("nesting") != std::string::npos);
+  CHECK(error_text_of("port: " + deep).find("nesting") != std::string::npos);
   std::string labels;
   for (int i = 0; i < 100000; ++i) labels += "a:";
-  CHECK(faults_of(labels).find("nesting") != std::string::npos);
+  CHECK(error_text_of(labels).find("nesting") != std::string::npos);
 }
 
 TEST_CASE("several files unify, and a file's errors do not hide another's") {
   Source files[] = {{"a.cue", "port: 5"}, {"b.cue", "limits: {open: 9}\nport: >=1"}};
-  CHECK(read(files, {"schema", kSchema}, "#Main").at("limits").whole("open") == 9);
+  CHECK(read(files, {"schema", kSchema}, "#Main").at("limits").integer("open") == 9);
   Source bad[] = {{"a.cue", "port: ["}, {"b.cue", "limits: }"}};
   try {
     read(bad, {"schema", kSchema}, "#Main");
     FAIL("read");
   } catch (const RecordError &error) {
-    REQUIRE(error.faults.size() == 2);
-    CHECK(error.faults[1].place.file == "b.cue");
+    REQUIRE(error.diagnostics.size() == 2);
+    CHECK(error.diagnostics[1].location.file == "b.cue");
   }
 }
 
@@ -151,12 +151,12 @@
     std::erase_if(text, [](char c) { return static_cast<unsigned char>(c) > 126; });
     return text;
   };
-  std::function<Ref(int)> make = [&](int depth) {
+  std::function<ValuePtr(int)> make = [&](int depth) {
     auto v = std::make_shared<Value>();
     unsigned kind = pick(depth > 0 ? 5 : 3);
-    if (kind == 0) v->kind = Value::Kind::boolean, v->flag = pick(2);
+    if (kind == 0) v->kind = Value::Kind::boolean, v->boolean = pick(2);
     if (kind == 1) {
-      v->kind = Value::Kind::number, v->number = pick(100000), v->whole = true;
+      v->kind = Value::Kind::number, v->number = pick(100000), v->is_int = true;
       v->text = std::to_string(static_cast<int>(v->number));
     }
     if (kind == 2) v->kind = Value::Kind::string, v->text = word();
@@ -168,10 +168,10 @@
       v->kind = Value::Kind::structure;
       for (unsigned n = pick(4); n > 0; --n) v->fields["f" + word()] = {make(depth - 1)};
     }
-    return Ref(v);
+    return ValuePtr(v);
   };
   for (int i = 0; i < 300; ++i) {
-    Ref made = make(4);
+    ValuePtr made = make(4);
     Source files[] = {{"x", "v: " + render(*made)}};
     CAPTURE(files[0].text);
     CHECK(equal(*evaluate(files)->fields.find("v")->second.value, *made));
