--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -20,9 +20,9 @@
 using management::Reply;
 using model::Edit;
 using model::Json;
-using model::Leaf;
 using model::parse_path;
-using model::text_of;
+using model::path_to_text;
+using model::PathValue;
 
 struct Given { // by the command line
   management::Target target;
@@ -56,13 +56,14 @@
   return 0;
 }
 
-void print(const std::vector<Leaf> &leaves) {
-  for (const Leaf &leaf : leaves) std::cout << text_of(leaf.path) << " " << leaf.value.dump(2) << "\n";
+void print(const std::vector<PathValue> &leaves) {
+  for (const PathValue &leaf : leaves)
+    std::cout << path_to_text(leaf.path) << " " << leaf.value.dump(2) << "\n";
 }
 
 int get() {
   ManagementClient client(given.target);
-  std::vector<Leaf> leaves;
+  std::vector<PathValue> leaves;
   Kind kind = given.type == "config" ? Kind::configuration : given.type == "state" ? Kind::state : Kind::all;
   Reply reply = client.get({parse_path(given.path)}, kind, leaves);
   if (!reply.ok()) return refused(reply);
@@ -125,9 +126,9 @@
 }
 
 int diff_documents(const model::Model &model, const std::string &from, const std::string &to) {
-  for (const model::Changed &one : model.changes(from, to))
-    std::cout << one.path << ": " << (one.from ? one.from->dump() : "(none)") << " -> "
-              << (one.to ? one.to->dump() : "(none)") << "  [" << name_of(one.when) << "]\n";
+  for (const model::Difference &one : model.diff(from, to))
+    std::cout << one.path << ": " << (one.before ? one.before->dump() : "(none)") << " -> "
+              << (one.after ? one.after->dump() : "(none)") << "  [" << name_of(one.takes_effect) << "]\n";
   return from == to ? 0 : 1;
 }
 
@@ -142,12 +143,12 @@
     if (from.empty() || to.empty()) throw std::runtime_error("the store has not both revisions");
     return diff_documents(model, from, to);
   }
-  std::vector<Leaf> running;
+  std::vector<PathValue> running;
   Reply reply = ManagementClient(given.target).get({parse_path("/front")}, Kind::configuration, running);
   if (!reply.ok()) return refused(reply);
   if (running.size() != 1) throw std::runtime_error("the front told of no configuration");
-  std::string document = model.check(Json{{"snowshore:front", running[0].value}}.dump());
-  return diff_documents(model, document, model.document_of(site::load_front(given.files).record));
+  std::string document = model.validate(Json{{"snowshore:front", running[0].value}}.dump());
+  return diff_documents(model, document, model.to_document(site::load_front(given.files).record));
 }
 
 void print_history(std::uint64_t revision, double at, const std::string &user, const std::string &cause,
@@ -165,11 +166,11 @@
       print_history(r.number, r.at, r.user, r.cause, r.confirm_by == 0);
     return 0;
   }
-  std::vector<Leaf> entries;
+  std::vector<PathValue> entries;
   Reply reply =
       ManagementClient(given.target).get({parse_path("/state/history[revision=*]")}, Kind::state, entries);
   if (!reply.ok()) return refused(reply);
-  for (const Leaf &entry : entries) {
+  for (const PathValue &entry : entries) {
     const Json &v = entry.value;
     print_history(std::stoull(v.value("revision", std::string("0"))),
                   std::stod(v.value("at", std::string("0"))), v.value("user", std::string()),
--- a/src/lab/manage.cpp
+++ b/src/lab/manage.cpp
@@ -128,7 +128,7 @@
   }
 
   bool read(std::string &into) {
-    std::vector<model::Leaf> leaves;
+    std::vector<model::PathValue> leaves;
     Reply reply = client_->get({parse_path("/front")}, management::Kind::configuration, leaves);
     if (!reply.ok() || leaves.size() != 1) return false;
     into = leaves[0].value.dump();
@@ -187,7 +187,7 @@
     if (reply.ok()) {
       count(&PushFigures::taken);
       if (back) count(&PushFigures::rolled_back);
-      if (wrong) note("a wrong change was taken: " + model::text_of(edits[0].path));
+      if (wrong) note("a wrong change was taken: " + model::path_to_text(edits[0].path));
       bool undone = options.commit == management::SetOptions::Commit::request && now == expected_;
       if (undone) count(&PushFigures::undone);
       if (now != next && !undone) note("taken, and read otherwise" + difference(next, now));
@@ -320,7 +320,7 @@
     Reply reply = client.set({edit(Edit::Kind::update, "/front/limits/open_plays", 900000 + i % 1000)});
     if (!reply.ok()) throw std::runtime_error("a set under load: " + reply.message);
     times.push_back(since(from));
-    std::vector<model::Leaf> leaves;
+    std::vector<model::PathValue> leaves;
     client.get({parse_path("/state")}, management::Kind::state, leaves);
     next += std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(1 / a_second));
     std::this_thread::sleep_until(next);
@@ -333,7 +333,7 @@
   site::FrontRecord record = site::read_front({&file, 1});
   model::Model model;
   auto kept = static_cast<std::size_t>(std::max(10, revisions));
-  std::string document = model.document_of(record.record);
+  std::string document = model.to_document(record.record);
   {
     store::Store store(folder, kept);
     for (int r = 1; r <= revisions; ++r)
--- a/src/management/client.cpp
+++ b/src/management/client.cpp
@@ -56,7 +56,7 @@
 ManagementClient::ManagementClient(const Target &target) : channel_(std::make_unique<Channel>(target)) {}
 ManagementClient::~ManagementClient() = default;
 
-Reply ManagementClient::get(const std::vector<Path> &paths, Kind kind, std::vector<model::Leaf> &into,
+Reply ManagementClient::get(const std::vector<Path> &paths, Kind kind, std::vector<model::PathValue> &into,
                             double seconds) {
   grpc::ClientContext context;
   within(context, seconds);
@@ -207,14 +207,14 @@
         try {
           says = read_more(response.extension());
           for (const gnmi::Path &gone : response.update().delete_())
-            take(model::text_of(read_path({}, gone)), nullptr);
+            take(model::path_to_text(read_path({}, gone)), nullptr);
           for (const gnmi::Update &update : response.update().update()) {
-            std::string path = model::text_of(read_path({}, update.path()));
+            std::string path = model::path_to_text(read_path({}, update.path()));
             Json value = read_value(update.val(), {});
             take(path, &value);
             if (!synced) seen.insert(std::move(path));
           }
-        } catch (const model::Fault &) { // from no front of ours: as if it had not come
+        } catch (const model::ModelError &) { // from no front of ours: as if it had not come
           context.TryCancel();
           break;
         }
--- a/src/management/client.h
+++ b/src/management/client.h
@@ -40,7 +40,7 @@
   explicit ManagementClient(const Target &target);
   ~ManagementClient();
   // Each waits at most so many seconds.
-  Reply get(const std::vector<model::Path> &paths, Kind kind, std::vector<model::Leaf> &into,
+  Reply get(const std::vector<model::Path> &paths, Kind kind, std::vector<model::PathValue> &into,
             double within = 5);
   Reply set(const std::vector<model::Edit> &edits, const SetOptions &options = {}, double within = 5);
   Reply capabilities(std::string &into, double within = 5);
--- a/src/management/follower.cpp
+++ b/src/management/follower.cpp
@@ -23,8 +23,8 @@
     bool sampled = line.what.mode == Subscription::Mode::sample;
     if (sampled && now < line.next_sample && !beat) continue;
     for (auto &[path, kept] : line.sent) kept.seen = false;
-    for (model::Leaf &leaf : values(line.what.path)) {
-      std::string path = model::text_of(leaf.path);
+    for (model::PathValue &leaf : values(line.what.path)) {
+      std::string path = model::path_to_text(leaf.path);
       auto [place, fresh] = line.sent.try_emplace(path);
       Kept &kept = place->second;
       kept.seen = true;
@@ -45,10 +45,10 @@
   return batch;
 }
 
-void Follower::has(const std::vector<model::Leaf> &leaves) {
+void Follower::has(const std::vector<model::PathValue> &leaves) {
   for (Line &line : lines_) {
-    for (const model::Leaf &leaf : leaves) {
-      if (model::covers(line.what.path, leaf.path)) line.sent[model::text_of(leaf.path)] = {leaf, false};
+    for (const model::PathValue &leaf : leaves) {
+      if (model::covers(line.what.path, leaf.path)) line.sent[model::path_to_text(leaf.path)] = {leaf, false};
     }
   }
 }
--- a/src/management/follower.h
+++ b/src/management/follower.h
@@ -20,26 +20,26 @@
 
 class Follower {
  public:
-  using Values = std::function<std::vector<model::Leaf>(const model::Path &)>; // what holds now
+  using Values = std::function<std::vector<model::PathValue>(const model::Path &)>; // what holds now
 
   Follower(std::vector<Subscription> subscriptions, double now);
 
   struct Batch {
-    std::vector<model::Leaf> updates;
+    std::vector<model::PathValue> updates;
     std::vector<model::Path> deletes;
     bool empty() const { return updates.empty() && deletes.empty(); }
   };
   // All that is due now, each path at most once, and noted as sent.
   Batch due(double now, const Values &values);
   // Taken as sent without sending: what a subscriber that comes again has, or does not want.
-  void has(const std::vector<model::Leaf> &leaves);
+  void has(const std::vector<model::PathValue> &leaves);
   // When samples or heartbeats are due next; INFINITY: never.
   double next_due() const;
   bool watches(std::string_view root) const; // whether any subscription may reach into /root
 
  private:
   struct Kept {
-    model::Leaf leaf;
+    model::PathValue leaf;
     bool seen = false; // in the look under way
   };
   struct Line {
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -4,7 +4,7 @@
 
 namespace snowshore::management {
 
-using model::decimal;
+using model::format_decimal;
 using model::Json;
 
 namespace {
@@ -17,10 +17,10 @@
 
 Json json_of(const site::FrontState &state) {
   Json out;
-  out["build"] = {{"boot", state.boot}, {"uptime", decimal(whole_seconds(state.uptime))}};
+  out["build"] = {{"boot", state.boot}, {"uptime", format_decimal(whole_seconds(state.uptime))}};
   out["service"] = state.service;
   out["list"]["version"] = std::to_string(state.list_version);
-  if (state.list_age >= 0) out["list"]["age"] = decimal(whole_seconds(state.list_age));
+  if (state.list_age >= 0) out["list"]["age"] = format_decimal(whole_seconds(state.list_age));
   out["plays"] = Json::array(), out["answers"] = Json::array(), out["servers"] = Json::array();
   for (const auto &[name, count] : state.plays)
     out["plays"].push_back({{"state", name}, {"count", std::to_string(count)}});
@@ -34,12 +34,12 @@
              {"avoided", server.view.avoided},
              {"may_be_cold", server.view.may_be_cold}};
     if (server.view.link_age >= 0) {
-      one["link_use"] = decimal(server.view.link_use);
-      one["link_age"] = decimal(whole_seconds(server.view.link_age));
+      one["link_use"] = format_decimal(server.view.link_use);
+      one["link_age"] = format_decimal(whole_seconds(server.view.link_age));
     }
     if (server.view.uplink_age >= 0) {
-      one["uplink_use"] = decimal(server.view.uplink_use);
-      one["uplink_age"] = decimal(whole_seconds(server.view.uplink_age));
+      one["uplink_use"] = format_decimal(server.view.uplink_use);
+      one["uplink_age"] = format_decimal(whole_seconds(server.view.uplink_age));
     }
     out["servers"].push_back(std::move(one));
   }
@@ -55,12 +55,12 @@
 
 const Manager::Checked &Manager::checked(const std::string &document) {
   if (checked_ && checked_->document == document) return *checked_;
-  records::Source file{"(configuration)", model_.record_of(document)};
+  records::Source file{"(configuration)", model_.to_record_text(document)};
   Checked out{document, site::read_front({&file, 1}), false, {}};
   if (!running_.empty()) {
-    for (const model::Changed &one : model_.changes(running_, document)) {
-      out.drained = out.drained || one.when == model::TakesEffect::drained;
-      if (one.when == model::TakesEffect::restart) out.fixed = one.path;
+    for (const model::Difference &one : model_.diff(running_, document)) {
+      out.drained = out.drained || one.takes_effect == model::TakesEffect::drained;
+      if (one.takes_effect == model::TakesEffect::restart) out.fixed = one.path;
     }
   }
   return checked_.emplace(std::move(out));
@@ -79,8 +79,8 @@
     return std::nullopt;
   } catch (const records::RecordError &error) {
     return No{Refusal::invalid, error.what()};
-  } catch (const model::Fault &fault) {
-    return No{Refusal::invalid, fault.what()};
+  } catch (const model::ModelError &error) {
+    return No{Refusal::invalid, error.what()};
   }
 }
 
@@ -98,7 +98,7 @@
 
 site::FrontRecord Manager::start(const site::FrontRecord &from_files) {
   std::lock_guard lock(sets_);
-  std::string first = model_.document_of(from_files.record);
+  std::string first = model_.to_document(from_files.record);
   auto revisions = store_.read();
   if (!revisions.empty()) ahead_ = std::max(0.0, revisions.back().at - clock_.exact()); // it was set back
   Answer answer = transactions_.recover(first, now());
@@ -152,8 +152,8 @@
       publish();
     }
     answer = call();
-  } catch (const model::Fault &fault) {
-    answer = {Refusal::invalid, fault.what(), transactions_.running().number};
+  } catch (const model::ModelError &error) {
+    answer = {Refusal::invalid, error.what(), transactions_.running().number};
   } catch (const records::RecordError &error) {
     answer = {Refusal::invalid, error.what(), transactions_.running().number};
   } catch (const store::StoreError &error) {
@@ -195,7 +195,7 @@
 
 Answer Manager::take_files(const site::FrontRecord &from_files, const std::string &user) {
   return one_at_a_time([&] {
-    std::string next = model_.document_of(from_files.record);
+    std::string next = model_.to_document(from_files.record);
     Answer answer{Refusal::none, "", transactions_.running().number};
     if (next != transactions_.running().document)
       answer = transactions_.set({next, user, "the record's files were read again", {}, 0, ""}, now());
@@ -283,7 +283,7 @@
   state["configuration"]["revision"] = std::to_string(running->revision);
   if (running->confirm_by > 0)
     state["configuration"]["confirm_within"] =
-        decimal(whole_seconds(std::max(0.0, running->confirm_by - now())));
+        format_decimal(whole_seconds(std::max(0.0, running->confirm_by - now())));
   state["management"] = {{"sets_taken", std::to_string(taken_.load())},
                          {"sets_refused", std::to_string(refused_.load())},
                          {"streams", streams_.load()},
@@ -305,7 +305,7 @@
     all.push_back({{"revision", std::to_string(r.number)},
                    {"user", r.user},
                    {"cause", r.cause},
-                   {"at", decimal(r.at)},
+                   {"at", format_decimal(r.at)},
                    {"back_to", std::to_string(r.back_to)},
                    {"confirmed", r.confirm_by == 0}});
   Json state{{"snowshore:state", {{"history", std::move(all)}}}};
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -17,11 +17,11 @@
 
 using grpc::Status;
 using grpc::StatusCode;
-using model::Fault;
+using model::DataTree;
 using model::Json;
-using model::Leaf;
+using model::ModelError;
 using model::Path;
-using model::Tree;
+using model::PathValue;
 
 namespace {
 
@@ -33,9 +33,10 @@
 constexpr double kLeastInterval = 0.01;          // of samples and heartbeats, seconds
 constexpr int kThreads = 1200;
 
-Status status_of(const Fault &fault, bool in_set) {
-  if (fault.kind == model::FaultKind::unknown_path && !in_set) return {StatusCode::NOT_FOUND, fault.what()};
-  return {StatusCode::INVALID_ARGUMENT, fault.what()};
+Status status_of(const ModelError &error, bool in_set) {
+  if (error.kind == model::ModelErrorKind::unknown_path && !in_set)
+    return {StatusCode::NOT_FOUND, error.what()};
+  return {StatusCode::INVALID_ARGUMENT, error.what()};
 }
 
 Status status_of(const Answer &answer) {
@@ -82,32 +83,32 @@
     auto held = manager_.in_force();
     if (held == held_) return;
     held_ = held;
-    configuration_ = manager_.model().read(held->document);
+    configuration_ = manager_.model().parse(held->document);
   }
   void take_state(bool with_history) {
-    state_ = manager_.model().read(manager_.state_json());
-    if (with_history) manager_.model().add(state_, manager_.history_json());
+    state_ = manager_.model().parse(manager_.state_json());
+    if (with_history) manager_.model().merge(state_, manager_.history_json());
     has_state_ = true;
   }
-  std::vector<Leaf> leaves(const Path &path) const {
-    return gather(path, [&](const Tree &tree) { return manager_.model().leaves(tree, path); });
+  std::vector<PathValue> leaves(const Path &path) const {
+    return gather(path, [&](const DataTree &tree) { return manager_.model().leaves(tree, path); });
   }
-  std::vector<Leaf> subtrees(const Path &path) const {
-    return gather(path, [&](const Tree &tree) { return manager_.model().subtrees(tree, path); });
+  std::vector<PathValue> subtrees(const Path &path) const {
+    return gather(path, [&](const DataTree &tree) { return manager_.model().subtrees(tree, path); });
   }
   const InForce &held() const { return *held_; }
 
  private:
-  template <class F> std::vector<Leaf> gather(const Path &path, F from) const {
-    std::vector<Leaf> out;
+  template <class F> std::vector<PathValue> gather(const Path &path, F from) const {
+    std::vector<PathValue> out;
     if (held_ && reaches(path, "front")) out = from(configuration_);
     if (!has_state_ || !reaches(path, "state")) return out;
-    for (Leaf &leaf : from(state_)) out.push_back(std::move(leaf));
+    for (PathValue &leaf : from(state_)) out.push_back(std::move(leaf));
     return out;
   }
   Manager &manager_;
   std::shared_ptr<const InForce> held_;
-  Tree configuration_, state_;
+  DataTree configuration_, state_;
   bool has_state_ = false;
 };
 
@@ -157,9 +158,9 @@
                       gnmi::CapabilityResponse *response) override {
     if (Status refused = allow(*context, Right::read); !refused.ok()) return refused;
     auto *one = response->add_supported_models();
-    one->set_name(model::Model::kName);
-    one->set_organization(model::Model::kOrganization);
-    one->set_version(model::Model::kRevision);
+    one->set_name(model::Model::kModuleName);
+    one->set_organization(model::Model::kModuleOrganization);
+    one->set_version(model::Model::kModuleRevision);
     response->add_supported_encodings(gnmi::JSON);
     response->add_supported_encodings(gnmi::JSON_IETF);
     response->set_gnmi_version("0.10.0");
@@ -188,24 +189,24 @@
         view.take_state(any(reaches_history));
       std::size_t bytes = 0;
       for (const Path &path : paths) {
-        manager_.model().must_be_known(path);
+        manager_.model().require_known_path(path);
         gnmi::Notification *notification = response->add_notification();
         notification->set_timestamp(static_cast<std::int64_t>(manager_.now() * 1e9));
-        for (const Leaf &leaf : view.subtrees(path)) {
+        for (const PathValue &leaf : view.subtrees(path)) {
           gnmi::Update *update = notification->add_update();
           write_path(leaf.path, *update->mutable_path());
           write_value(leaf.value, *update->mutable_val());
           if ((bytes += update->ByteSizeLong()) > kLongestAnswer)
             return {StatusCode::RESOURCE_EXHAUSTED,
-                    model::text_of(path) + ": an answer of more than 64 MB; subscribe ONCE instead"};
+                    model::path_to_text(path) + ": an answer of more than 64 MB; subscribe ONCE instead"};
         }
         if (notification->update_size() == 0 && !model::has_wildcard(path) && !path.empty())
-          return {StatusCode::NOT_FOUND, model::text_of(path) + ": not there"};
+          return {StatusCode::NOT_FOUND, model::path_to_text(path) + ": not there"};
       }
       write_more({{"revision", revision}}, *response->mutable_extension());
       return Status::OK;
-    } catch (const Fault &fault) {
-      return status_of(fault, false);
+    } catch (const ModelError &error) {
+      return status_of(error, false);
     } catch (const Ending &ending) {
       return {StatusCode::UNAVAILABLE, ending.what()};
     }
@@ -249,8 +250,8 @@
         }
         answer = manager_.set(set);
       }
-    } catch (const Fault &fault) {
-      return status_of(fault, true);
+    } catch (const ModelError &error) {
+      return status_of(error, true);
     } catch (const Json::exception &error) {
       return {StatusCode::INVALID_ARGUMENT, std::string("extension: ") + error.what()};
     }
@@ -284,8 +285,8 @@
     Status ended;
     try {
       ended = follow(*context, *stream, active, request);
-    } catch (const Fault &fault) {
-      ended = status_of(fault, false);
+    } catch (const ModelError &error) {
+      ended = status_of(error, false);
     } catch (const Ending &ending) {
       ended = {StatusCode::UNAVAILABLE, ending.what()};
     }
@@ -391,7 +392,8 @@
         gnmi::Update *one = notification.add_update();
         write_path(batch.updates[update].path, *one->mutable_path());
         write_value(batch.updates[update].value, *one->mutable_val());
-        if (auto it = duplicates.find(model::text_of(batch.updates[update].path)); it != duplicates.end())
+        if (auto it = duplicates.find(model::path_to_text(batch.updates[update].path));
+            it != duplicates.end())
           one->set_duplicates(it->second);
       }
       if (update == batch.updates.size() && gone == batch.deletes.size())
@@ -409,7 +411,7 @@
     for (std::uint64_t r = after + 1; before && r <= until; ++r) {
       auto next = manager_.document_at(r);
       if (!next) break;
-      for (const model::Changed &one : manager_.model().changes(*before, *next)) ++out[one.path];
+      for (const model::Difference &one : manager_.model().diff(*before, *next)) ++out[one.path];
       before = std::move(next);
     }
     std::erase_if(out, [](const auto &entry) { return entry.second < 2; });
@@ -439,7 +441,7 @@
     bool history = false;
     for (const gnmi::Subscription &one : list.subscription()) {
       subscriptions.push_back(read_subscription(list, one));
-      manager_.model().must_be_known(subscriptions.back().path);
+      manager_.model().require_known_path(subscriptions.back().path);
       history = history || reaches_history(subscriptions.back().path);
     }
     if (subscriptions.empty()) return {StatusCode::INVALID_ARGUMENT, "a subscription to no path"};
@@ -458,7 +460,7 @@
     auto from = whole(more, "resume");
     bool resumed = false;
     if (auto document = from ? manager_.document_at(*from) : std::nullopt) {
-      Tree before = manager_.model().read(*document);
+      DataTree before = manager_.model().parse(*document);
       follower.has(manager_.model().leaves(before, {}));
       resumed = true;
     }
--- a/src/management/wire.cpp
+++ b/src/management/wire.cpp
@@ -5,9 +5,9 @@
 namespace snowshore::management {
 
 using model::Edit;
-using model::Fault;
-using model::FaultKind;
 using model::Json;
+using model::ModelError;
+using model::ModelErrorKind;
 using model::Path;
 
 namespace {
@@ -18,21 +18,21 @@
   Path out;
   for (const gnmi::Path *part : {&prefix, &path}) {
     if (!part->origin().empty() && part->origin() != "snowshore" && part->origin() != "rfc7951")
-      throw Fault(FaultKind::unknown_path, "origin '" + part->origin() + "'", "not served here");
+      throw ModelError(ModelErrorKind::unknown_path, "origin '" + part->origin() + "'", "not served here");
     for (const gnmi::PathElem &elem : part->elem()) {
-      model::PathElem one;
+      model::PathElement one;
       one.name = elem.name();
       if (one.name.starts_with("snowshore:")) one.name = one.name.substr(10);
       for (const auto &[name, value] : elem.key()) one.keys[name] = value;
       out.push_back(std::move(one));
     }
   }
-  model::xpath_of(out); // refuses names that could be none
+  model::path_to_xpath(out); // refuses names that could be none
   return out;
 }
 
 void write_path(const Path &path, gnmi::Path &into) {
-  for (const model::PathElem &elem : path) {
+  for (const model::PathElement &elem : path) {
     gnmi::PathElem *one = into.add_elem();
     one->set_name(elem.name);
     for (const auto &[name, value] : elem.keys) (*one->mutable_key())[name] = value;
@@ -42,11 +42,13 @@
 Json read_value(const gnmi::TypedValue &value, const Path &at) {
   auto parse = [&](const std::string &text) {
     Json::parser_callback_t bounded = [&](int depth, Json::parse_event_t, Json &) {
-      if (depth > kDeepest) throw Fault(FaultKind::bad_value, model::text_of(at), "a value nested too deep");
+      if (depth > kDeepest)
+        throw ModelError(ModelErrorKind::invalid_value, model::path_to_text(at), "a value nested too deep");
       return true;
     };
     Json read = Json::parse(text, bounded, false);
-    if (read.is_discarded()) throw Fault(FaultKind::bad_value, model::text_of(at), "a value that is no JSON");
+    if (read.is_discarded())
+      throw ModelError(ModelErrorKind::invalid_value, model::path_to_text(at), "a value that is no JSON");
     return read;
   };
   switch (value.value_case()) {
@@ -70,13 +72,14 @@
     Json out = Json::array();
     for (const gnmi::TypedValue &one : value.leaflist_val().element()) {
       if (one.value_case() == gnmi::TypedValue::kLeaflistVal)
-        throw Fault(FaultKind::bad_value, model::text_of(at), "a list within a leaf-list");
+        throw ModelError(ModelErrorKind::invalid_value, model::path_to_text(at), "a list within a leaf-list");
       out.push_back(read_value(one, at));
     }
     return out;
   }
   default:
-    throw Fault(FaultKind::bad_value, model::text_of(at), "an encoding that is not served");
+    throw ModelError(ModelErrorKind::invalid_value, model::path_to_text(at),
+                     "an encoding that is not served");
   }
 }
 
@@ -86,7 +89,8 @@
 
 std::vector<Edit> read_edits(const gnmi::SetRequest &request) {
   std::vector<Edit> edits; // in the order that gNMI sets: deletes, replaces, updates
-  if (request.union_replace_size() > 0) throw Fault(FaultKind::bad_value, "union_replace", "not served here");
+  if (request.union_replace_size() > 0)
+    throw ModelError(ModelErrorKind::invalid_value, "union_replace", "not served here");
   for (const gnmi::Path &path : request.delete_())
     edits.push_back({Edit::Kind::remove, read_path(request.prefix(), path), {}});
   auto with_value = [&](const gnmi::Update &update, Edit::Kind kind) {
@@ -107,7 +111,7 @@
   for (const gnmi_ext::Extension &one : extensions) {
     if (one.has_registered_ext() && one.registered_ext().id() == gnmi_ext::EID_EXPERIMENTAL) {
       Json read = Json::parse(one.registered_ext().msg(), nullptr, false);
-      if (!read.is_object()) throw Fault(FaultKind::bad_value, "extension", "no JSON object");
+      if (!read.is_object()) throw ModelError(ModelErrorKind::invalid_value, "extension", "no JSON object");
       return read;
     }
   }
@@ -124,7 +128,7 @@
   auto it = more.find(name);
   if (it == more.end()) return std::nullopt;
   if (!it->is_number_unsigned())
-    throw Fault(FaultKind::bad_value, std::string("extension ") + name, "no whole number");
+    throw ModelError(ModelErrorKind::invalid_value, std::string("extension ") + name, "no whole number");
   return it->get<std::uint64_t>();
 }
 
--- a/src/model/model.cpp
+++ b/src/model/model.cpp
@@ -10,25 +10,25 @@
 
 namespace snowshore::model {
 
-const char *const Model::kName = "snowshore", *const Model::kRevision = "2026-12-01",
-                  *const Model::kOrganization = "snowshore";
+const char *const Model::kModuleName = "snowshore", *const Model::kModuleRevision = "2026-12-01",
+                  *const Model::kModuleOrganization = "snowshore";
 
 const char *name_of(TakesEffect when) {
   constexpr const char *kNames[] = {"in-service", "drained", "restart"};
   return kNames[static_cast<int>(when)];
 }
 
-std::string decimal(double value) {
+std::string format_decimal(double value) {
   char buffer[64];
   std::snprintf(buffer, sizeof buffer, "%.6f", value);
   return buffer;
 }
 
-Tree::~Tree() { lyd_free_all(root_); }
+DataTree::~DataTree() { lyd_free_all(root_); }
 
 namespace {
 
-constexpr unsigned kPrint =
+constexpr unsigned kPrintOptions =
     LYD_PRINT_WITHSIBLINGS | LYD_PRINT_WD_ALL | LYD_PRINT_SHRINK | LYD_PRINT_KEEPEMPTYCONT;
 
 const lysc_node *first_child(const lysc_node *node) { return lysc_node_child(node); }
@@ -51,10 +51,10 @@
   return nullptr;
 }
 
-bool as_string(LY_DATA_TYPE base) { // RFC 7951, 6.1 and 6.2
+bool is_json_string(LY_DATA_TYPE base) { // RFC 7951, 6.1 and 6.2
   return base == LY_TYPE_DEC64 || base == LY_TYPE_INT64 || base == LY_TYPE_UINT64;
 }
-bool as_number(LY_DATA_TYPE base) {
+bool is_json_number(LY_DATA_TYPE base) {
   return base == LY_TYPE_INT8 || base == LY_TYPE_INT16 || base == LY_TYPE_INT32 || base == LY_TYPE_UINT8 ||
          base == LY_TYPE_UINT16 || base == LY_TYPE_UINT32;
 }
@@ -62,35 +62,35 @@
 Json json_of(const lyd_node *term) {
   LY_DATA_TYPE base = type_of(term->schema)->basetype;
   const char *text = lyd_get_value(term);
-  if (as_number(base)) return std::stoll(text);
+  if (is_json_number(base)) return std::stoll(text);
   if (base == LY_TYPE_BOOL) return std::strcmp(text, "true") == 0;
   return text;
 }
 
 // Scalars as their leaves' types are written: clients send 0.5 for "0.5", and the other way round.
-Json written_for(const lysc_node *node, Json value) {
+Json coerce_scalars(const lysc_node *node, Json value) {
   if (value.is_object()) {
     for (auto &[name, inner] : value.items()) {
       const lysc_node *child = child_of(node, name.starts_with("snowshore:") ? name.substr(10) : name);
-      if (child) inner = written_for(child, std::move(inner));
+      if (child) inner = coerce_scalars(child, std::move(inner));
     }
     return value;
   }
   if (value.is_array()) {
-    for (Json &one : value) one = written_for(node, std::move(one));
+    for (Json &one : value) one = coerce_scalars(node, std::move(one));
     return value;
   }
   if (!is_leaf(node) && !is_leaf_list(node)) return value;
   LY_DATA_TYPE base = type_of(node)->basetype;
-  if (value.is_number() && !as_number(base)) return value.dump();
-  if (value.is_string() && (as_number(base) || base == LY_TYPE_BOOL)) {
+  if (value.is_number() && !is_json_number(base)) return value.dump();
+  if (value.is_string() && (is_json_number(base) || base == LY_TYPE_BOOL)) {
     Json read = Json::parse(value.get<std::string>(), nullptr, false);
     if (read.is_number() || read.is_boolean()) return read;
   }
   return value;
 }
 
-TakesEffect effect_of(const lysc_node *node) {
+TakesEffect takes_effect_of(const lysc_node *node) {
   for (; node; node = node->parent) {
     for (LY_ARRAY_COUNT_TYPE i = 0; i < LY_ARRAY_COUNT(node->exts); ++i) {
       if (std::strcmp(node->exts[i].def->name, "takes-effect") != 0) continue;
@@ -106,7 +106,7 @@
 Path path_of(const lyd_node *node) {
   Path path;
   for (; node; node = lyd_parent(node)) {
-    PathElem elem;
+    PathElement elem;
     elem.name = node->schema->name;
     if (is_list(node->schema)) {
       for (const lyd_node *key = lyd_child(node); key && lysc_is_key(key->schema); key = key->next)
@@ -118,13 +118,13 @@
   return path;
 }
 
-template <class F> void each_term(const lyd_node *top, F f) {
+template <class F> void for_each_term(const lyd_node *top, F f) {
   if (top->schema && (is_leaf(top->schema) || is_leaf_list(top->schema))) return f(top);
-  for (const lyd_node *child = lyd_child(top); child; child = child->next) each_term(child, f);
+  for (const lyd_node *child = lyd_child(top); child; child = child->next) for_each_term(child, f);
 }
 
-void collect(const lyd_node *top, std::vector<Leaf> &into) {
-  each_term(top, [&](const lyd_node *term) {
+void collect_leaves(const lyd_node *top, std::vector<PathValue> &into) {
+  for_each_term(top, [&](const lyd_node *term) {
     Path path = path_of(term);
     if (!is_leaf_list(term->schema)) {
       into.push_back({std::move(path), json_of(term)});
@@ -136,66 +136,68 @@
   });
 }
 
-std::string exact_decimal(const records::Record &where, double value) {
-  std::string text = decimal(value);
+std::string decimal_or_throw(const records::Record &where, double value) {
+  std::string text = format_decimal(value);
   if (std::abs(std::strtod(text.c_str(), nullptr) - value) > std::abs(value) * 1e-9)
     throw records::RecordError({{where.value().location, where.path(),
                                  "a number of no more than six decimals", records::describe(where.value())}});
   return text;
 }
 
-Json scalar_of(const lysc_node *node, const records::Record &value) {
+Json scalar_to_json(const lysc_node *node, const records::Record &value) {
   LY_DATA_TYPE base = type_of(node)->basetype;
-  if (units_of(node) == "seconds") return exact_decimal(value, records::parse_seconds(value.as_text()));
-  if (units_of(node) == "kilobytes per second") return exact_decimal(value, value.as_rate());
-  if (base == LY_TYPE_DEC64) return exact_decimal(value, value.as_number());
-  if (as_number(base)) return static_cast<std::int64_t>(value.as_number());
-  if (as_string(base)) return std::to_string(static_cast<std::int64_t>(value.as_number()));
+  if (units_of(node) == "seconds") return decimal_or_throw(value, records::parse_seconds(value.as_text()));
+  if (units_of(node) == "kilobytes per second") return decimal_or_throw(value, value.as_rate());
+  if (base == LY_TYPE_DEC64) return decimal_or_throw(value, value.as_number());
+  if (is_json_number(base)) return static_cast<std::int64_t>(value.as_number());
+  if (is_json_string(base)) return std::to_string(static_cast<std::int64_t>(value.as_number()));
   if (base == LY_TYPE_BOOL) return value.value().boolean;
   return value.as_text();
 }
 
-Json struct_of(const lysc_node *schema, const records::Record &record) {
+Json record_to_json(const lysc_node *schema, const records::Record &record) {
   Json out = Json::object();
   for (const lysc_node *node = first_child(schema); node; node = node->next) {
     if (is_list(node)) {
       Json items = Json::array();
       for (const records::Record &item : record.items(node->name)) {
-        Json one = struct_of(node, item);
+        Json one = record_to_json(node, item);
         if (child_of(node, "number")) one["number"] = items.size();
         items.push_back(std::move(one));
       }
       out[node->name] = std::move(items);
     } else if (is_leaf_list(node)) {
       Json items = Json::array();
-      for (const records::Record &item : record.items(node->name)) items.push_back(scalar_of(node, item));
+      for (const records::Record &item : record.items(node->name))
+        items.push_back(scalar_to_json(node, item));
       out[node->name] = std::move(items);
     } else if (is_leaf(node)) {
-      if (record.has(node->name)) out[node->name] = scalar_of(node, record.at(node->name));
+      if (record.has(node->name)) out[node->name] = scalar_to_json(node, record.at(node->name));
     } else {
-      out[node->name] = struct_of(node, record.at(node->name));
+      out[node->name] = record_to_json(node, record.at(node->name));
     }
   }
   return out;
 }
 
-std::string string_text(const std::string &text) {
+std::string quote(const std::string &text) {
   records::Value value;
   value.kind = records::Value::Kind::string;
   value.text = text;
   return records::render(value);
 }
 
-std::string scalar_text(const lysc_node *node, const Json &value) {
+std::string scalar_to_record_text(const lysc_node *node, const Json &value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   LY_DATA_TYPE base = type_of(node)->basetype;
-  if (units_of(node) == "seconds") return string_text(text + "s");
-  if (units_of(node) == "kilobytes per second") return string_text(text + "kB/s");
-  if (as_number(base) || as_string(base) || base == LY_TYPE_BOOL) return text;
-  return string_text(text);
+  if (units_of(node) == "seconds") return quote(text + "s");
+  if (units_of(node) == "kilobytes per second") return quote(text + "kB/s");
+  if (is_json_number(base) || is_json_string(base) || base == LY_TYPE_BOOL) return text;
+  return quote(text);
 }
 
-void write_struct(const lysc_node *schema, const Json &value, std::string &out, const std::string &indent) {
+void write_record_fields(const lysc_node *schema, const Json &value, std::string &out,
+                         const std::string &indent) {
   for (const lysc_node *node = first_child(schema); node; node = node->next) {
     Json here = value.contains(node->name) ? value[node->name] : Json();
     if (std::strcmp(node->name, "number") == 0) continue; // the place in the record's list says it
@@ -207,19 +209,19 @@
       out += indent + node->name + ": [";
       for (const Json &item : here) {
         out += "{\n";
-        write_struct(node, item, out, indent + "  ");
+        write_record_fields(node, item, out, indent + "  ");
         out += indent + "},";
       }
       out += "]\n";
     } else if (is_leaf_list(node)) {
       out += indent + node->name + ": [";
-      for (const Json &item : here) out += scalar_text(node, item) + ",";
+      for (const Json &item : here) out += scalar_to_record_text(node, item) + ",";
       out += "]\n";
     } else if (is_leaf(node)) {
-      if (!here.is_null()) out += indent + node->name + ": " + scalar_text(node, here) + "\n";
+      if (!here.is_null()) out += indent + node->name + ": " + scalar_to_record_text(node, here) + "\n";
     } else {
       out += indent + node->name + ": {\n";
-      write_struct(node, here.is_object() ? here : Json::object(), out, indent + "  ");
+      write_record_fields(node, here.is_object() ? here : Json::object(), out, indent + "  ");
       out += indent + "}\n";
     }
   }
@@ -242,7 +244,7 @@
 
 Model::~Model() { ly_ctx_destroy(context_); }
 
-void Model::fail(FaultKind kind, const std::string &path) const {
+void Model::throw_last_error(ModelErrorKind kind, const std::string &path) const {
   const char *message = ly_errmsg(context_), *at = ly_errpath(context_);
   std::string why = message ? message : "not as the model has it";
   std::string where = at ? at : "";
@@ -250,52 +252,54 @@
   // The place stands last, as: Data location "/front/...".
   if (std::size_t i = where.rfind("ata location \""); i != std::string::npos)
     where = where.substr(i + 14, where.rfind('"') - i - 14);
-  throw Fault(kind, where.empty() || path.size() > where.size() ? path : where, why);
+  throw ModelError(kind, where.empty() || path.size() > where.size() ? path : where, why);
 }
 
-Tree Model::read(const std::string &json) const {
-  Tree tree;
+DataTree Model::parse(const std::string &json) const {
+  DataTree tree;
   if (lyd_parse_data_mem(context_, json.c_str(), LYD_JSON, LYD_PARSE_ONLY | LYD_PARSE_STRICT, 0,
                          &tree.root_) != LY_SUCCESS)
-    fail(FaultKind::bad_value, "/");
+    throw_last_error(ModelErrorKind::invalid_value, "/");
   return tree;
 }
 
-void Model::add(Tree &tree, const std::string &json) const {
-  Tree more = read(json);
+void Model::merge(DataTree &tree, const std::string &json) const {
+  DataTree more = parse(json);
   if (lyd_merge_siblings(&tree.root_, std::exchange(more.root_, nullptr), LYD_MERGE_DESTRUCT) != LY_SUCCESS)
-    fail(FaultKind::bad_value, "/");
+    throw_last_error(ModelErrorKind::invalid_value, "/");
 }
 
-Tree Model::validated(Tree tree) const {
+DataTree Model::validated(DataTree tree) const {
   if (lyd_validate_all(&tree.root_, context_, LYD_VALIDATE_NO_STATE, nullptr) != LY_SUCCESS)
-    fail(FaultKind::constraint, "/front");
+    throw_last_error(ModelErrorKind::constraint_violation, "/front");
   return tree;
 }
 
-std::string Model::print(const Tree &tree) const {
+std::string Model::print(const DataTree &tree) const {
   char *text = nullptr;
-  if (lyd_print_mem(&text, tree.root_, LYD_JSON, kPrint) != LY_SUCCESS) fail(FaultKind::bad_value, "/");
+  if (lyd_print_mem(&text, tree.root_, LYD_JSON, kPrintOptions) != LY_SUCCESS)
+    throw_last_error(ModelErrorKind::invalid_value, "/");
   std::string out = text ? text : "{}";
   std::free(text);
   return out;
 }
 
-std::string Model::check(const std::string &json) const { return print(validated(read(json))); }
+std::string Model::validate(const std::string &json) const { return print(validated(parse(json))); }
 
-std::string Model::document_of(const records::Record &front) const {
-  return check(Json{{"snowshore:front", struct_of(front_, front)}}.dump());
+std::string Model::to_document(const records::Record &front) const {
+  return validate(Json{{"snowshore:front", record_to_json(front_, front)}}.dump());
 }
 
-std::string Model::record_of(const std::string &document) const {
+std::string Model::to_record_text(const std::string &document) const {
   std::string out;
-  write_struct(front_, Json::parse(document).at("snowshore:front"), out, "");
+  write_record_fields(front_, Json::parse(document).at("snowshore:front"), out, "");
   return out;
 }
 
-const lysc_node *Model::schema_of(const Path &path) const { // of a path without wildcards; none: no such node
+const lysc_node *
+Model::find_schema(const Path &path) const { // of a path without wildcards; none: no such node
   const lysc_node *node = nullptr;
-  for (const PathElem &elem : path) {
+  for (const PathElement &elem : path) {
     std::string name = elem.name.starts_with("snowshore:") ? elem.name.substr(10) : elem.name;
     node = node ? child_of(node, name) : lys_find_path(context_, nullptr, ("/snowshore:" + name).c_str(), 0);
     if (!node) return nullptr;
@@ -307,37 +311,38 @@
   return node;
 }
 
-void Model::must_be_known(const Path &path) const {
-  xpath_of(path); // throws where a name could be none
+void Model::require_known_path(const Path &path) const {
+  path_to_xpath(path); // throws where a name could be none
   if (path.empty()) return;
   bool known = true;
   if (!has_wildcard(path)) {
-    known = schema_of(path) != nullptr;
+    known = find_schema(path) != nullptr;
   } else {
     Path without = path; // the schema knows no key values
-    for (PathElem &elem : without) elem.keys.clear();
+    for (PathElement &elem : without) elem.keys.clear();
     ly_set *set = nullptr;
-    known =
-        lys_find_xpath(context_, nullptr, xpath_of(without).c_str(), 0, &set) == LY_SUCCESS && set->count > 0;
+    known = lys_find_xpath(context_, nullptr, path_to_xpath(without).c_str(), 0, &set) == LY_SUCCESS &&
+            set->count > 0;
     ly_set_free(set, nullptr);
   }
-  if (!known) throw Fault(FaultKind::unknown_path, text_of(path), "the model has no such path");
+  if (!known)
+    throw ModelError(ModelErrorKind::unknown_path, path_to_text(path), "the model has no such path");
 }
 
-std::vector<lyd_node *> Model::find(const Tree &tree, const Path &path) const {
-  must_be_known(path);
+std::vector<lyd_node *> Model::find(const DataTree &tree, const Path &path) const {
+  require_known_path(path);
   std::vector<lyd_node *> found;
   if (!tree.root_) return found;
   ly_set *set = nullptr;
-  if (lyd_find_xpath(tree.root_, xpath_of(path).c_str(), &set) != LY_SUCCESS)
-    fail(FaultKind::unknown_path, text_of(path));
+  if (lyd_find_xpath(tree.root_, path_to_xpath(path).c_str(), &set) != LY_SUCCESS)
+    throw_last_error(ModelErrorKind::unknown_path, path_to_text(path));
   for (std::uint32_t i = 0; i < set->count; ++i) found.push_back(set->dnodes[i]);
   ly_set_free(set, nullptr);
   return found;
 }
 
-std::vector<Leaf> Model::leaves(const Tree &tree, const Path &path) const {
-  std::vector<Leaf> out;
+std::vector<PathValue> Model::leaves(const DataTree &tree, const Path &path) const {
+  std::vector<PathValue> out;
   auto found = find(tree, path);
   std::unordered_set<const lyd_node *> all;
   if (has_wildcard(path)) all.insert(found.begin(), found.end());
@@ -346,25 +351,25 @@
     bool within = false;
     for (const lyd_node *up = lyd_parent(found[i]); up && !within; up = lyd_parent(up))
       within = all.contains(up);
-    if (!within) collect(found[i], out);
+    if (!within) collect_leaves(found[i], out);
   }
-  std::ranges::stable_sort(out, {}, [](const Leaf &leaf) { return text_of(leaf.path); });
-  out.erase(
-      std::unique(out.begin(), out.end(), [](const Leaf &a, const Leaf &b) { return a.path == b.path; }),
-      out.end());
+  std::ranges::stable_sort(out, {}, [](const PathValue &leaf) { return path_to_text(leaf.path); });
+  out.erase(std::unique(out.begin(), out.end(),
+                        [](const PathValue &a, const PathValue &b) { return a.path == b.path; }),
+            out.end());
   return out;
 }
 
-std::vector<Leaf> Model::subtrees(const Tree &tree, const Path &path) const {
-  std::vector<Leaf> out;
+std::vector<PathValue> Model::subtrees(const DataTree &tree, const Path &path) const {
+  std::vector<PathValue> out;
   for (const lyd_node *node : find(tree, path)) {
     if (is_leaf(node->schema) || is_leaf_list(node->schema)) {
-      collect(node, out);
+      collect_leaves(node, out);
       continue;
     }
     char *text = nullptr;
-    if (lyd_print_mem(&text, node, LYD_JSON, kPrint & ~unsigned{LYD_PRINT_WITHSIBLINGS}) != LY_SUCCESS)
-      fail(FaultKind::bad_value, text_of(path));
+    if (lyd_print_mem(&text, node, LYD_JSON, kPrintOptions & ~unsigned{LYD_PRINT_WITHSIBLINGS}) != LY_SUCCESS)
+      throw_last_error(ModelErrorKind::invalid_value, path_to_text(path));
     Json printed = Json::parse(text ? text : "{}");
     std::free(text);
     Json value = printed.empty() ? Json::object() : *printed.begin();
@@ -373,47 +378,52 @@
   return out;
 }
 
-void Model::merge(Tree &tree, const Path &path, const Json &value) const {
-  const lysc_node *schema = path.empty() ? nullptr : schema_of(path);
-  Json inner = schema ? written_for(schema, value) : value;
+void Model::merge_value(DataTree &tree, const Path &path, const Json &value) const {
+  const lysc_node *schema = path.empty() ? nullptr : find_schema(path);
+  Json inner = schema ? coerce_scalars(schema, value) : value;
   for (std::size_t i = path.size(); i-- > 0;) {
-    const lysc_node *here = schema_of({path.begin(), path.begin() + static_cast<std::ptrdiff_t>(i) + 1});
+    const lysc_node *here = find_schema({path.begin(), path.begin() + static_cast<std::ptrdiff_t>(i) + 1});
     if (is_list(here) && !path[i].keys.empty()) {
       if (!inner.is_object())
-        throw Fault(FaultKind::bad_value, text_of(path), "an object is due for a list's entry");
+        throw ModelError(ModelErrorKind::invalid_value, path_to_text(path),
+                         "an object is due for a list's entry");
       for (const auto &[key, text] : path[i].keys) {
-        Json written = written_for(child_of(here, key), text);
+        Json written = coerce_scalars(child_of(here, key), text);
         if (inner.contains(key) && inner[key] != written)
-          throw Fault(FaultKind::bad_value, text_of(path), "the key in the value is not the one in the path");
+          throw ModelError(ModelErrorKind::invalid_value, path_to_text(path),
+                           "the key in the value is not the one in the path");
         inner[key] = written;
       }
       inner = Json::array({inner});
     } else if (is_list(here) && i + 1 < path.size()) {
-      throw Fault(FaultKind::unknown_path, text_of(path), "a list's entry is named by its key");
+      throw ModelError(ModelErrorKind::unknown_path, path_to_text(path),
+                       "a list's entry is named by its key");
     }
     inner = Json{{i == 0 ? "snowshore:" + std::string(here->name) : std::string(here->name), inner}};
   }
-  if (!inner.is_object()) throw Fault(FaultKind::bad_value, text_of(path), "an object is due");
+  if (!inner.is_object())
+    throw ModelError(ModelErrorKind::invalid_value, path_to_text(path), "an object is due");
   try {
-    add(tree, inner.dump());
-  } catch (const Fault &fault) {
-    throw Fault(fault.kind, text_of(path), fault.cause);
+    merge(tree, inner.dump());
+  } catch (const ModelError &error) {
+    throw ModelError(error.kind, path_to_text(path), error.cause);
   } catch (const Json::exception &) {
-    throw Fault(FaultKind::bad_value, text_of(path), "text that is not UTF-8");
+    throw ModelError(ModelErrorKind::invalid_value, path_to_text(path), "text that is not UTF-8");
   }
 }
 
 std::string Model::edit(const std::string &document, std::span<const Edit> edits) const {
-  Tree tree = read(document);
+  DataTree tree = parse(document);
   for (const Edit &edit : edits) {
     if (has_wildcard(edit.path))
-      throw Fault(FaultKind::unknown_path, text_of(edit.path), "no wildcards in a Set");
-    must_be_known(edit.path);
-    const lysc_node *schema = edit.path.empty() ? nullptr : schema_of(edit.path);
+      throw ModelError(ModelErrorKind::unknown_path, path_to_text(edit.path), "no wildcards in a Set");
+    require_known_path(edit.path);
+    const lysc_node *schema = edit.path.empty() ? nullptr : find_schema(edit.path);
     if (schema && (schema->flags & LYS_CONFIG_R))
-      throw Fault(FaultKind::unknown_path, text_of(edit.path), "state cannot be set");
+      throw ModelError(ModelErrorKind::unknown_path, path_to_text(edit.path), "state cannot be set");
     if (schema && lysc_is_key(schema) && edit.kind != Edit::Kind::update)
-      throw Fault(FaultKind::unknown_path, text_of(edit.path), "a key goes with its entry only");
+      throw ModelError(ModelErrorKind::unknown_path, path_to_text(edit.path),
+                       "a key goes with its entry only");
     if (edit.kind != Edit::Kind::update) {
       bool entry = schema && is_list(schema) && !edit.path.back().keys.empty();
       for (lyd_node *node : find(tree, edit.path)) {
@@ -428,29 +438,29 @@
         lyd_free_tree(node);
       }
     }
-    if (edit.kind != Edit::Kind::remove) merge(tree, edit.path, edit.value);
+    if (edit.kind != Edit::Kind::remove) merge_value(tree, edit.path, edit.value);
   }
   return print(validated(std::move(tree)));
 }
 
-std::vector<Changed> Model::changes(const std::string &from, const std::string &to) const {
+std::vector<Difference> Model::diff(const std::string &from, const std::string &to) const {
   if (from == to) return {};
-  std::map<std::string, Changed> all;
-  auto take = [&](const std::string &document, std::optional<Json> Changed::*side) {
-    Tree tree = read(document);
+  std::map<std::string, Difference> all;
+  auto take = [&](const std::string &document, std::optional<Json> Difference::*side) {
+    DataTree tree = parse(document);
     if (!tree.root_) return;
-    std::vector<Leaf> found;
-    for (const lyd_node *top = tree.root_; top; top = top->next) collect(top, found);
-    for (Leaf &leaf : found) {
-      Changed &one = all[text_of(leaf.path)];
-      one.when = effect_of(schema_of(leaf.path));
+    std::vector<PathValue> found;
+    for (const lyd_node *top = tree.root_; top; top = top->next) collect_leaves(top, found);
+    for (PathValue &leaf : found) {
+      Difference &one = all[path_to_text(leaf.path)];
+      one.takes_effect = takes_effect_of(find_schema(leaf.path));
       // Which entries a list has, and in which order, is told at the list.
       for (std::size_t i = 0; i < leaf.path.size(); ++i) {
         if (leaf.path[i].keys.empty()) continue;
         Path list(leaf.path.begin(), leaf.path.begin() + static_cast<std::ptrdiff_t>(i) + 1);
         list.back().keys.clear();
-        Changed &order = all[text_of(list)];
-        order.when = effect_of(schema_of(list));
+        Difference &order = all[path_to_text(list)];
+        order.takes_effect = takes_effect_of(find_schema(list));
         if (!(order.*side)) order.*side = Json::array();
         Json key = leaf.path[i].keys.begin()->second;
         if ((order.*side)->empty() || (order.*side)->back() != key) (order.*side)->push_back(key);
@@ -458,12 +468,12 @@
       one.*side = std::move(leaf.value);
     }
   };
-  take(from, &Changed::from);
-  take(to, &Changed::to);
-  std::vector<Changed> out;
+  take(from, &Difference::before);
+  take(to, &Difference::after);
+  std::vector<Difference> out;
   for (auto &[path, one] : all) {
     one.path = path;
-    if (one.from != one.to) out.push_back(std::move(one));
+    if (one.before != one.after) out.push_back(std::move(one));
   }
   return out;
 }
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -23,7 +23,7 @@
 enum class TakesEffect { in_service, drained, restart }; // the model's extension takes-effect
 const char *name_of(TakesEffect when);
 
-struct Leaf { // a leaf, or a leaf-list whole; of subtrees(): any node
+struct PathValue { // a leaf, or a leaf-list whole; of subtrees(): any node
   Path path;
   Json value; // as RFC 7951 has it
 };
@@ -35,24 +35,24 @@
   Json value;
 };
 
-struct Changed {
+struct Difference {
   std::string path;
-  TakesEffect when = TakesEffect::in_service;
-  std::optional<Json> from, to; // none: not there
+  TakesEffect takes_effect = TakesEffect::in_service;
+  std::optional<Json> before, after; // none: not there
 };
 
-std::string decimal(double value); // with the six decimals that the model's decimal64 have
+std::string format_decimal(double value); // with the six decimals that the model's decimal64 have
 
-class Tree { // data that the model has read
+class DataTree { // data that the model has read
  public:
-  Tree() = default;
-  explicit Tree(lyd_node *root) : root_(root) {}
-  Tree(Tree &&other) noexcept : root_(std::exchange(other.root_, nullptr)) {}
-  Tree &operator=(Tree &&other) noexcept {
+  DataTree() = default;
+  explicit DataTree(lyd_node *root) : root_(root) {}
+  DataTree(DataTree &&other) noexcept : root_(std::exchange(other.root_, nullptr)) {}
+  DataTree &operator=(DataTree &&other) noexcept {
     std::swap(root_, other.root_);
     return *this;
   }
-  ~Tree();
+  ~DataTree();
   lyd_node *root() const { return root_; }
 
  private:
@@ -67,30 +67,31 @@
   Model(const Model &) = delete;
 
   // A settled record as a document; throws RecordError where the record holds what the model has no room for.
-  std::string document_of(const records::Record &front) const;
-  std::string record_of(const std::string &document) const; // as a record file's text
+  std::string to_document(const records::Record &front) const;
+  std::string to_record_text(const std::string &document) const; // as a record file's text
 
   // All edits on the document, validated as a whole. Throws Fault; the document is what it was.
   std::string edit(const std::string &document, std::span<const Edit> edits) const;
-  std::string check(const std::string &json) const; // validated and in full; throws Fault
-  std::vector<Changed> changes(const std::string &from, const std::string &to) const;
-
-  Tree read(const std::string &json) const; // state, or a document: types are checked, constraints not
-  void add(Tree &tree, const std::string &json) const;
-  std::vector<Leaf> leaves(const Tree &tree, const Path &path) const;   // at and under what the path names
-  std::vector<Leaf> subtrees(const Tree &tree, const Path &path) const; // what it names itself
+  std::string validate(const std::string &json) const; // validated and in full; throws Fault
+  std::vector<Difference> diff(const std::string &from, const std::string &to) const;
+
+  DataTree parse(const std::string &json) const; // state, or a document: types are checked, constraints not
+  void merge(DataTree &tree, const std::string &json) const;
+  std::vector<PathValue> leaves(const DataTree &tree,
+                                const Path &path) const; // at and under what the path names
+  std::vector<PathValue> subtrees(const DataTree &tree, const Path &path) const; // what it names itself
   // Throws Fault where the schema has nothing that the path could name.
-  void must_be_known(const Path &path) const;
+  void require_known_path(const Path &path) const;
 
-  static const char *const kName, *const kRevision, *const kOrganization;
+  static const char *const kModuleName, *const kModuleRevision, *const kModuleOrganization;
 
  private:
-  const lysc_node *schema_of(const Path &path) const;
-  [[noreturn]] void fail(FaultKind kind, const std::string &path) const;
-  Tree validated(Tree tree) const;
-  std::string print(const Tree &tree) const;
-  std::vector<lyd_node *> find(const Tree &tree, const Path &path) const;
-  void merge(Tree &tree, const Path &path, const Json &value) const;
+  const lysc_node *find_schema(const Path &path) const;
+  [[noreturn]] void throw_last_error(ModelErrorKind kind, const std::string &path) const;
+  DataTree validated(DataTree tree) const;
+  std::string print(const DataTree &tree) const;
+  std::vector<lyd_node *> find(const DataTree &tree, const Path &path) const;
+  void merge_value(DataTree &tree, const Path &path, const Json &value) const;
   ly_ctx *context_ = nullptr;
   const lysc_node *front_ = nullptr;
 };
--- a/src/model/path.h
+++ b/src/model/path.h
@@ -10,25 +10,25 @@
 
 namespace snowshore::model {
 
-enum class FaultKind { unknown_path, bad_value, constraint };
-struct Fault : std::runtime_error { // what() names the path
-  Fault(FaultKind k, std::string at, const std::string &why)
+enum class ModelErrorKind { unknown_path, invalid_value, constraint_violation };
+struct ModelError : std::runtime_error { // what() names the path
+  ModelError(ModelErrorKind k, std::string at, const std::string &why)
       : std::runtime_error(at + ": " + why), kind(k), path(std::move(at)), cause(why) {}
-  FaultKind kind;
+  ModelErrorKind kind;
   std::string path, cause;
 };
 
-struct PathElem {
+struct PathElement {
   std::string name;
   std::map<std::string, std::string> keys;
-  bool operator==(const PathElem &) const = default;
+  bool operator==(const PathElement &) const = default;
 };
-using Path = std::vector<PathElem>;
+using Path = std::vector<PathElement>;
 
 Path parse_path(std::string_view text); // throws Fault (unknown_path)
-std::string text_of(const Path &path);
+std::string path_to_text(const Path &path);
 bool has_wildcard(const Path &path);
-std::string xpath_of(const Path &path); // throws Fault where a name could be no identifier
+std::string path_to_xpath(const Path &path); // throws Fault where a name could be no identifier
 // Whether a path without wildcards lies at or under what the pattern names.
 bool covers(const Path &pattern, const Path &path);
 
--- a/tests/fuzz/fuzz_management.cpp
+++ b/tests/fuzz/fuzz_management.cpp
@@ -25,7 +25,7 @@
   std::string document;
   World() {
     records::Source file{"front.cue", kText};
-    document = model.document_of(site::read_front({&file, 1}).record);
+    document = model.to_document(site::read_front({&file, 1}).record);
   }
 };
 
@@ -38,21 +38,21 @@
   std::string_view text(reinterpret_cast<const char *>(data), size);
   try {
     model::Path path = model::parse_path(text);
-    if (model::parse_path(model::text_of(path)) != path) std::abort();
+    if (model::parse_path(model::path_to_text(path)) != path) std::abort();
     if (!model::covers(path, path) && !model::has_wildcard(path)) std::abort();
-    model::xpath_of(path);
-    world.model.must_be_known(path);
-  } catch (const model::Fault &) {
+    model::path_to_xpath(path);
+    world.model.require_known_path(path);
+  } catch (const model::ModelError &) {
   }
   gnmi::SetRequest request;
   if (!request.ParseFromArray(data, static_cast<int>(size))) return 0;
   try {
     management::read_more(request.extension());
     std::string next = world.model.edit(world.document, management::read_edits(request));
-    if (world.model.check(next) != next) std::abort();
-    records::Source file{"(edited)", world.model.record_of(next)};
+    if (world.model.validate(next) != next) std::abort();
+    records::Source file{"(edited)", world.model.to_record_text(next)};
     site::read_front({&file, 1});
-  } catch (const model::Fault &) {
+  } catch (const model::ModelError &) {
   } catch (const records::RecordError &) {
   }
   return 0;
--- a/tests/management/rig.h
+++ b/tests/management/rig.h
@@ -40,7 +40,7 @@
   store::Store store;
   management::Manager manager;
   explicit Rig(const std::string &folder, const std::string &more = "", std::size_t history = 1000)
-      : store(folder, history), manager(built_in(), store, history, "test") {
+      : store(folder, history), manager(test_model(), store, history, "test") {
     auto record = manager.start(front_record(more));
     front.open_plays = record.limits.open_plays;
     front.now.service = "serving", front.now.boot = "b";
--- a/tests/management/test_follower.cpp
+++ b/tests/management/test_follower.cpp
@@ -7,8 +7,8 @@
 using namespace snowshore;
 using management::Follower;
 using management::Subscription;
-using model::Leaf;
 using model::parse_path;
+using model::PathValue;
 
 namespace {
 
@@ -16,7 +16,7 @@
   std::map<std::string, int> values;
   Follower::Values all() const {
     return [this](const model::Path &pattern) {
-      std::vector<Leaf> out;
+      std::vector<PathValue> out;
       for (const auto &[path, value] : values) {
         if (model::covers(pattern, parse_path(path))) out.push_back({parse_path(path), value});
       }
@@ -27,8 +27,9 @@
 
 std::string told(const Follower::Batch &batch) {
   std::string out;
-  for (const Leaf &leaf : batch.updates) out += model::text_of(leaf.path) + "=" + leaf.value.dump() + " ";
-  for (const model::Path &path : batch.deletes) out += "-" + model::text_of(path) + " ";
+  for (const PathValue &leaf : batch.updates)
+    out += model::path_to_text(leaf.path) + "=" + leaf.value.dump() + " ";
+  for (const model::Path &path : batch.deletes) out += "-" + model::path_to_text(path) + " ";
   return out;
 }
 
--- a/tests/management/test_service.cpp
+++ b/tests/management/test_service.cpp
@@ -135,7 +135,7 @@
   Folder folder;
   Served front(folder.name);
   ManagementClient ana(front.target()), bo(front.target());
-  std::vector<model::Leaf> leaves;
+  std::vector<model::PathValue> leaves;
   auto read = ana.get({parse_path("/front/limits/open_plays")}, Kind::configuration, leaves);
   REQUIRE((read.ok() && leaves.size() == 1 && leaves[0].value == 20000));
   SetOptions at_read;
@@ -169,7 +169,7 @@
   Served front(folder.name);
   many_servers(front.rig.front, 10000);
   ManagementClient client(front.target());
-  std::vector<model::Leaf> leaves;
+  std::vector<model::PathValue> leaves;
   REQUIRE(client.get({parse_path("/state/servers[id=*]/*")}, Kind::state, leaves, 60).ok());
   CHECK(leaves.size() == 100000);
   auto stub = front.stub();
@@ -303,9 +303,9 @@
   std::minstd_rand chance(3);
   double slowest = 0;
   auto agree = [&](const Served &served) {
-    auto tree = built_in().read(served.rig.in_force());
+    auto tree = test_model().parse(served.rig.in_force());
     std::map<std::string, Json> mine;
-    for (const auto &leaf : built_in().leaves(tree, {})) mine[model::text_of(leaf.path)] = leaf.value;
+    for (const auto &leaf : test_model().leaves(tree, {})) mine[model::path_to_text(leaf.path)] = leaf.value;
     auto view = watch.view();
     std::erase_if(view, [](const auto &entry) { return !entry.first.starts_with("/front"); });
     return view == mine;
@@ -364,7 +364,7 @@
                          Row{front.target(), Code::UNAVAILABLE, Code::UNAVAILABLE}}) {
     CAPTURE(row.target.certificate);
     ManagementClient client(row.target);
-    std::vector<model::Leaf> leaves;
+    std::vector<model::PathValue> leaves;
     CHECK(client.get({parse_path("/front/name")}, Kind::all, leaves, 2).code == row.get);
     CHECK(client.set(update("/front/limits/open_plays", 77), {}, 2).code == row.set);
   }
@@ -416,7 +416,7 @@
   renewed.server_name = "renewed";
   CHECK(until(
       [&] {
-        std::vector<model::Leaf> leaves;
+        std::vector<model::PathValue> leaves;
         return ManagementClient(renewed).get({parse_path("/front/name")}, Kind::all, leaves, 1).ok();
       },
       10));
@@ -424,7 +424,7 @@
   while (stream->Read(&response)) {
   }
   CHECK_FALSE(stream->Finish().ok());
-  std::vector<model::Leaf> leaves;
+  std::vector<model::PathValue> leaves;
   CHECK_FALSE(
       ManagementClient(as(authority, "short")).get({parse_path("/front/name")}, Kind::all, leaves, 2).ok());
 }
--- a/tests/model/front_text.h
+++ b/tests/model/front_text.h
@@ -5,7 +5,7 @@
 
 namespace snowshore::testing {
 
-inline const char *const kFrontText = R"(
+inline const char *const kFrontRecord = R"(
 name: "edge-1"
 list: {file: "list.cue", catalogue: "titles.cue"}
 fleet: {cells: 4, kinds: [{name: "small", places: 24}], link_per_weight: "25MB/s"}
@@ -16,11 +16,11 @@
 )";
 
 inline site::FrontRecord front_record(const std::string &more = "") {
-  records::Source files[] = {{"front.cue", kFrontText}, {"more.cue", more}};
+  records::Source files[] = {{"front.cue", kFrontRecord}, {"more.cue", more}};
   return site::read_front(files);
 }
 
-inline const model::Model &built_in() {
+inline const model::Model &test_model() {
   static const model::Model model;
   return model;
 }
--- a/tests/model/test_model.cpp
+++ b/tests/model/test_model.cpp
@@ -22,8 +22,8 @@
 Edit erase(const char *path) { return {Edit::Kind::remove, parse_path(path), {}}; }
 
 std::string value_at(const std::string &document, const char *path) {
-  Tree tree = built_in().read(document);
-  auto found = built_in().leaves(tree, parse_path(path));
+  DataTree tree = test_model().parse(document);
+  auto found = test_model().leaves(tree, parse_path(path));
   return found.size() == 1 ? found[0].value.dump() : std::to_string(found.size()) + " leaves";
 }
 
@@ -45,7 +45,7 @@
 } // namespace
 
 TEST_CASE("the model's defaults are the record's") {
-  Json least = Json::parse(built_in().document_of(read(kFrontText).record));
+  Json least = Json::parse(test_model().to_document(read(kFrontRecord).record));
   // What the record leaves out is left out here too; the model fills it in.
   Json &front = least["snowshore:front"];
   Json bare = Json::object();
@@ -56,7 +56,7 @@
   for (Json &product : bare["products"]) {
     for (const char *name : {"importance", "set_up", "floor", "rate_factor"}) product.erase(name);
   }
-  CHECK(Json::parse(built_in().check(Json{{"snowshore:front", bare}}.dump())) == least);
+  CHECK(Json::parse(test_model().validate(Json{{"snowshore:front", bare}}.dump())) == least);
 }
 
 TEST_CASE("generated records become documents and records again without loss") {
@@ -98,9 +98,9 @@
             "\nlimits: {idle_time: " + time() + ", open_plays: " + std::to_string(1 + pick(99999)) + "}\n";
     CAPTURE(text);
     site::FrontRecord record = read(text);
-    std::string document = built_in().document_of(record.record);
-    site::FrontRecord back = read(built_in().record_of(document));
-    CHECK(built_in().document_of(back.record) == document);
+    std::string document = test_model().to_document(record.record);
+    site::FrontRecord back = read(test_model().to_record_text(document));
+    CHECK(test_model().to_document(back.record) == document);
     same_values(record, back);
     CHECK(back.list_file == record.list_file);
     CHECK(back.seed == record.seed);
@@ -109,7 +109,7 @@
 }
 
 TEST_CASE("edits: what is taken, in one table") {
-  const std::string document = built_in().document_of(read(kFrontText).record);
+  const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     std::vector<Edit> edits;
     const char *path, *value;
@@ -147,62 +147,64 @@
                "\"0.5\""},
        }) {
     CAPTURE(row.path);
-    std::string after = built_in().edit(document, row.edits);
+    std::string after = test_model().edit(document, row.edits);
     CHECK(value_at(after, row.path) == row.value);
-    CHECK(built_in().edit(after, {}) == after);
+    CHECK(test_model().edit(after, {}) == after);
   }
-  std::string same = built_in().edit(
+  std::string same = test_model().edit(
       document, std::vector{replace("/front/products[name=film]",
                                     Json::parse(document)["snowshore:front"]["products"][0])});
   CHECK(same == document); // the entry keeps its place
 }
 
 TEST_CASE("edits: what is refused, with kind and path") {
-  const std::string document = built_in().document_of(read(kFrontText).record);
+  const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     Edit edit;
-    FaultKind kind;
+    ModelErrorKind kind;
     const char *path;
   };
-  using enum FaultKind;
+  using enum ModelErrorKind;
   for (const Row &row : {
-           Row{update("/front/limits/open_plays", 0), bad_value, "open_plays"},
-           Row{update("/front/limits/open_plays", "many"), bad_value, "open_plays"},
-           Row{update("/front/limits/open_plays", {{"a", 1}}), bad_value, "open_plays"},
+           Row{update("/front/limits/open_plays", 0), invalid_value, "open_plays"},
+           Row{update("/front/limits/open_plays", "many"), invalid_value, "open_plays"},
+           Row{update("/front/limits/open_plays", {{"a", 1}}), invalid_value, "open_plays"},
            Row{update("/front/limits/none", 1), unknown_path, "none"},
            Row{update("/elsewhere", 1), unknown_path, "elsewhere"},
-           Row{update("/front/limits", {{"none", 1}}), bad_value, "limits"},
+           Row{update("/front/limits", {{"none", 1}}), invalid_value, "limits"},
            Row{update("/front/products[id=film]/floor", 1), unknown_path, "film"},
            Row{update("/front/products/floor", 1), unknown_path, "products"},
-           Row{update("/front/products[name=film]", {{"name", "live"}}), bad_value, "film"},
-           Row{update("/front/products[name=new]/floor", 1), constraint, "new"},
-           Row{update("/front/products[name=film]/first_frame_target", 9), constraint, "first_frame_target"},
-           Row{update("/front/products[name=film]/top", 2), constraint, "top"},
-           Row{update("/front/rungs[number=1]/rate", 100), constraint, "rate"},
-           Row{update("/front/rungs[number=3]", {{"rate", 900}, {"importance", 3}}), constraint, "rungs"},
-           Row{update("/front/management/listen", "10.0.0.1:9"), constraint, "management"},
+           Row{update("/front/products[name=film]", {{"name", "live"}}), invalid_value, "film"},
+           Row{update("/front/products[name=new]/floor", 1), constraint_violation, "new"},
+           Row{update("/front/products[name=film]/first_frame_target", 9), constraint_violation,
+               "first_frame_target"},
+           Row{update("/front/products[name=film]/top", 2), constraint_violation, "top"},
+           Row{update("/front/rungs[number=1]/rate", 100), constraint_violation, "rate"},
+           Row{update("/front/rungs[number=3]", {{"rate", 900}, {"importance", 3}}), constraint_violation,
+               "rungs"},
+           Row{update("/front/management/listen", "10.0.0.1:9"), constraint_violation, "management"},
            Row{update("/state/service", "serving"), unknown_path, "service"},
            Row{update("/front/products[name=*]/floor", 1), unknown_path, "*"},
-           Row{erase("/front/rules/warm_up"), constraint, ""},
-           Row{erase("/front"), constraint, ""},
+           Row{erase("/front/rules/warm_up"), constraint_violation, ""},
+           Row{erase("/front"), constraint_violation, ""},
            Row{erase("/front/products[name=film]/name"), unknown_path, "name"},
-           Row{update("/front/log/level", "loud"), bad_value, "level"},
-           Row{update("/front/hall", "\xff\xfe"), bad_value, "hall"},
+           Row{update("/front/log/level", "loud"), invalid_value, "level"},
+           Row{update("/front/hall", "\xff\xfe"), invalid_value, "hall"},
        }) {
-    CAPTURE(text_of(row.edit.path), row.edit.value.dump(-1, ' ', true, Json::error_handler_t::replace));
+    CAPTURE(path_to_text(row.edit.path), row.edit.value.dump(-1, ' ', true, Json::error_handler_t::replace));
     try {
-      built_in().edit(document, {&row.edit, 1});
+      test_model().edit(document, {&row.edit, 1});
       FAIL("was taken");
-    } catch (const Fault &fault) {
-      CAPTURE(fault.what());
-      CHECK(fault.kind == row.kind);
-      CHECK(std::string(fault.what()).find(row.path) != std::string::npos);
+    } catch (const ModelError &error) {
+      CAPTURE(error.what());
+      CHECK(error.kind == row.kind);
+      CHECK(std::string(error.what()).find(row.path) != std::string::npos);
     }
   }
 }
 
 TEST_CASE("what a change touches, and when that can be taken") {
-  const std::string document = built_in().document_of(read(kFrontText).record);
+  const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     Edit edit;
     const char *path;
@@ -218,25 +220,25 @@
         Row{update("/front/name", "other"), "/front/name", restart},
         Row{update("/front/management/setters", {"ana"}), "/front/management/setters", in_service}}) {
     CAPTURE(row.path);
-    auto changed = built_in().changes(document, built_in().edit(document, {&row.edit, 1}));
-    auto found = std::ranges::find(changed, row.path, &Changed::path);
+    auto changed = test_model().diff(document, test_model().edit(document, {&row.edit, 1}));
+    auto found = std::ranges::find(changed, row.path, &Difference::path);
     REQUIRE(found != changed.end());
-    CHECK(found->when == row.when);
+    CHECK(found->takes_effect == row.when);
   }
   Json turned = Json::parse(document);
   std::swap(turned["snowshore:front"]["products"][0], turned["snowshore:front"]["products"][1]);
-  auto changed = built_in().changes(document, built_in().check(turned.dump()));
+  auto changed = test_model().diff(document, test_model().validate(turned.dump()));
   REQUIRE(changed.size() == 1);
-  CHECK(changed[0].when == drained); // the order alone
+  CHECK(changed[0].takes_effect == drained); // the order alone
 }
 
 TEST_CASE("paths: text, wildcards, and what they cover") {
   for (const char *text :
        {"/", "/front/products[name=film]/floor", "/front/.../name", "/a[k=x\\]y\\\\z]/b", "/*/x"})
-    CHECK(text_of(parse_path(text)) == text);
+    CHECK(path_to_text(parse_path(text)) == text);
   for (const char *text :
        {"front", "/front/products[name", "/front/products[name=x", "/a[k=1][k=2]", "//x", "/a b", "/a[k=\\"})
-    CHECK_THROWS_AS(parse_path(text), Fault);
+    CHECK_THROWS_AS(parse_path(text), ModelError);
   struct Row {
     const char *pattern, *path;
     bool covered;
@@ -251,12 +253,12 @@
     CAPTURE(row.pattern, row.path);
     CHECK(covers(parse_path(row.pattern), parse_path(row.path)) == row.covered);
   }
-  const std::string document = built_in().document_of(read(kFrontText).record);
-  Tree tree = built_in().read(document);
-  CHECK(built_in().leaves(tree, parse_path("/front/products[name=*]/floor")).size() == 2);
-  CHECK(built_in().leaves(tree, parse_path("/front/.../name")).size() == 4);
-  CHECK(built_in().leaves(tree, parse_path("/front/products[name=it's \"x\"]")).empty());
-  CHECK(built_in().subtrees(tree, parse_path("/front/products[name=film]"))[0].value["top"] == 1);
+  const std::string document = test_model().to_document(read(kFrontRecord).record);
+  DataTree tree = test_model().parse(document);
+  CHECK(test_model().leaves(tree, parse_path("/front/products[name=*]/floor")).size() == 2);
+  CHECK(test_model().leaves(tree, parse_path("/front/.../name")).size() == 4);
+  CHECK(test_model().leaves(tree, parse_path("/front/products[name=it's \"x\"]")).empty());
+  CHECK(test_model().subtrees(tree, parse_path("/front/products[name=film]"))[0].value["top"] == 1);
   for (const char *path : {"/front/none", "/*/none", "/state/servers[name=x]"})
-    CHECK_THROWS_AS(built_in().leaves(tree, parse_path(path)), Fault);
+    CHECK_THROWS_AS(test_model().leaves(tree, parse_path(path)), ModelError);
 }
