--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -136,7 +136,7 @@
   model::Model model;
   if (!given.store.empty()) {
     std::string from, to;
-    for (const management::Revision &revision : store::Store::peek(given.store)) {
+    for (const management::Revision &revision : store::Store::read_history_read_only(given.store)) {
       if (revision.number == given.from) from = revision.document;
       if (revision.number == given.to) to = revision.document;
     }
@@ -162,8 +162,8 @@
 
 int history() {
   if (!given.store.empty()) { // of a front that is down, or beside one that runs
-    for (const management::Revision &r : store::Store::peek(given.store))
-      print_history(r.number, r.at, r.user, r.cause, r.confirm_by == 0);
+    for (const management::Revision &r : store::Store::read_history_read_only(given.store))
+      print_history(r.number, r.committed_at, r.user, r.cause, r.confirm_deadline == 0);
     return 0;
   }
   std::vector<PathValue> entries;
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -99,11 +99,12 @@
 site::FrontRecord Manager::start(const site::FrontRecord &from_files) {
   std::lock_guard lock(sets_);
   std::string first = model_.to_document(from_files.record);
-  auto revisions = store_.read();
-  if (!revisions.empty()) ahead_ = std::max(0.0, revisions.back().at - clock_.exact()); // it was set back
+  auto revisions = store_.read_revisions();
+  if (!revisions.empty())
+    ahead_ = std::max(0.0, revisions.back().committed_at - clock_.exact()); // it was set back
   Answer answer = transactions_.recover(first, now());
   if (answer.refusal != Refusal::none) throw std::runtime_error("the configuration in force: " + answer.why);
-  std::string before = store_.text("files");
+  std::string before = store_.get_text("files");
   if (before != first) {
     // Written by hand and started anew: that is a change like another, and ends one that awaits confirmation.
     if (!before.empty() && transactions_.running().document != first) {
@@ -229,10 +230,12 @@
   auto next = std::make_shared<InForce>();
   next->revision = running.number;
   next->document = running.document;
-  next->confirm_by = running.confirm_by;
+  next->confirm_deadline = running.confirm_deadline;
   next->commit_id = running.commit_id;
   std::lock_guard held(held_);
-  if (in_force_ && in_force_->revision == next->revision && in_force_->confirm_by == next->confirm_by) return;
+  if (in_force_ && in_force_->revision == next->revision &&
+      in_force_->confirm_deadline == next->confirm_deadline)
+    return;
   next->terms = in_force_ && in_force_->document == next->document
                     ? in_force_->terms
                     : checked(next->document).record.management;
@@ -267,8 +270,8 @@
   std::lock_guard held(held_);
   std::vector<Revision> out;
   for (const auto &[number, revision] : revisions_)
-    out.push_back(
-        {number, "", revision.user, revision.cause, revision.at, revision.confirm_by, revision.back_to, ""});
+    out.push_back({number, "", revision.user, revision.cause, revision.committed_at,
+                   revision.confirm_deadline, revision.revert_to, ""});
   return out;
 }
 
@@ -281,9 +284,9 @@
   Json state = json_of(front->state());
   state["build"]["version"] = version_;
   state["configuration"]["revision"] = std::to_string(running->revision);
-  if (running->confirm_by > 0)
+  if (running->confirm_deadline > 0)
     state["configuration"]["confirm_within"] =
-        format_decimal(whole_seconds(std::max(0.0, running->confirm_by - now())));
+        format_decimal(whole_seconds(std::max(0.0, running->confirm_deadline - now())));
   state["management"] = {{"sets_taken", std::to_string(taken_.load())},
                          {"sets_refused", std::to_string(refused_.load())},
                          {"streams", streams_.load()},
@@ -305,9 +308,9 @@
     all.push_back({{"revision", std::to_string(r.number)},
                    {"user", r.user},
                    {"cause", r.cause},
-                   {"at", format_decimal(r.at)},
-                   {"back_to", std::to_string(r.back_to)},
-                   {"confirmed", r.confirm_by == 0}});
+                   {"at", format_decimal(r.committed_at)},
+                   {"back_to", std::to_string(r.revert_to)},
+                   {"confirmed", r.confirm_deadline == 0}});
   Json state{{"snowshore:state", {{"history", std::move(all)}}}};
   return state.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
--- a/src/management/manager.h
+++ b/src/management/manager.h
@@ -33,8 +33,8 @@
   std::uint64_t revision = 0;
   std::string document;
   site::ManagementTerms terms;
-  double confirm_by = 0; // 0: confirmed
-  std::string commit_id; // of one that awaits its confirmation
+  double confirm_deadline = 0; // 0: confirmed
+  std::string commit_id;       // of one that awaits its confirmation
 };
 
 class Manager final : Running {
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -345,7 +345,7 @@
 
   std::uint64_t pending(const std::string &commit_id) const {
     auto held = manager_.in_force();
-    return held->confirm_by > 0 && held->commit_id == commit_id ? held->revision : 0;
+    return held->confirm_deadline > 0 && held->commit_id == commit_id ? held->revision : 0;
   }
 
   // Watches over the confirm timers and over streams: one that does not read, or whose certificate ends, is
--- a/src/management/transaction.cpp
+++ b/src/management/transaction.cpp
@@ -30,13 +30,13 @@
 }
 
 void Transactions::settle() {
-  become(running().confirm_by > 0 ? State::awaiting_confirmation : State::settled);
+  become(running().confirm_deadline > 0 ? State::awaiting_confirmation : State::settled);
 }
 
 Answer Transactions::recover(const std::string &first, double now) {
   history_.clear();
   for (const Revision &revision :
-       journal_.read()) { // a revision written again (confirmed) replaces its earlier form
+       journal_.read_revisions()) { // a revision written again (confirmed) replaces its earlier form
     if (!history_.empty() && history_.back().number == revision.number)
       history_.back() = revision;
     else
@@ -44,7 +44,7 @@
   }
   if (history_.empty()) return commit({1, first, "", "first start", now, 0, 0, ""});
   settle();
-  if (state_ == State::awaiting_confirmation && now >= running().confirm_by) {
+  if (state_ == State::awaiting_confirmation && now >= running().confirm_deadline) {
     if (Answer undone = tick(now); undone.refusal == Refusal::none) return undone;
   }
   if (auto why = running_.apply(running().document)) return refused(Refusal::not_applied, *why);
@@ -65,11 +65,11 @@
   Revision back = history_[history_.size() - 2];
   back.number = next.number + 1;
   back.cause = "revision " + std::to_string(next.number) + " was not taken: " + *why;
-  back.user = next.user, back.at = next.at;
-  if (back.confirm_by > 0) { // still unconfirmed: it goes back to where it would have gone, later
-    back.confirm_by = std::max(back.confirm_by, next.at + kUndoAgain);
+  back.user = next.user, back.committed_at = next.committed_at;
+  if (back.confirm_deadline > 0) { // still unconfirmed: it goes back to where it would have gone, later
+    back.confirm_deadline = std::max(back.confirm_deadline, next.committed_at + kUndoAgain);
   } else {
-    back.back_to = next.number - 1;
+    back.revert_to = next.number - 1;
   }
   journal_.append(back);
   keep(back);
@@ -85,8 +85,8 @@
   if (state_ == State::awaiting_confirmation)
     return refused(Refusal::unconfirmed,
                    "revision " + std::to_string(running().number) + " awaits its confirmation");
-  double confirm_by = change.confirm_within > 0 ? now + change.confirm_within : 0;
-  return commit({running().number + 1, change.document, change.user, change.cause, now, confirm_by,
+  double confirm_deadline = change.confirm_within > 0 ? now + change.confirm_within : 0;
+  return commit({running().number + 1, change.document, change.user, change.cause, now, confirm_deadline,
                  running().number, change.commit_id});
 }
 
@@ -96,7 +96,7 @@
     return refused(Refusal::unknown_revision,
                    "revision " + std::to_string(revision) + " awaits no confirmation");
   Revision confirmed = running();
-  confirmed.confirm_by = 0;
+  confirmed.confirm_deadline = 0;
   confirmed.cause += " (confirmed by " + user + ")";
   journal_.append(confirmed);
   history_.back() = confirmed;
@@ -106,7 +106,7 @@
 
 Answer Transactions::cancel(std::uint64_t revision, const std::string &user, double now) {
   if (auto undone = tick(now); undone.refusal != Refusal::none) return undone;
-  const Revision *back = find(running().back_to);
+  const Revision *back = find(running().revert_to);
   if (running().number != revision || state_ != State::awaiting_confirmation || !back)
     return refused(Refusal::unknown_revision,
                    "revision " + std::to_string(revision) + " awaits no confirmation");
@@ -126,20 +126,20 @@
 }
 
 Answer Transactions::tick(double now) {
-  if (state_ != State::awaiting_confirmation || now < running().confirm_by)
+  if (state_ != State::awaiting_confirmation || now < running().confirm_deadline)
     return {Refusal::none, "", history_.empty() ? 0 : running().number};
-  const Revision *back = find(running().back_to);
+  const Revision *back = find(running().revert_to);
   if (!back) return refused(Refusal::unknown_revision, "nothing to go back to");
   std::string cause = "revision " + std::to_string(running().number) + " was not confirmed in time";
   if (auto no = running_.refuse(back->document)) { // now is no time for it: tried again, not forgotten
-    history_.back().confirm_by = now + kUndoAgain;
+    history_.back().confirm_deadline = now + kUndoAgain;
     return refused(no->refusal, cause + "; cannot go back yet: " + no->why);
   }
   return commit({running().number + 1, back->document, running().user, cause, now, 0, back->number, ""});
 }
 
 std::optional<double> Transactions::next_due() const {
-  return state_ == State::awaiting_confirmation ? std::optional(running().confirm_by) : std::nullopt;
+  return state_ == State::awaiting_confirmation ? std::optional(running().confirm_deadline) : std::nullopt;
 }
 
 } // namespace snowshore::management
--- a/src/management/transaction.h
+++ b/src/management/transaction.h
@@ -15,10 +15,10 @@
   std::uint64_t number = 0;
   std::string document; // the whole configuration
   std::string user, cause;
-  double at = 0;
-  double confirm_by = 0;     // 0: confirmed
-  std::uint64_t back_to = 0; // the revision that an unconfirmed change, or a rollback, returns to
-  std::string commit_id;     // the client's name for an unconfirmed change
+  double committed_at = 0;
+  double confirm_deadline = 0; // 0: confirmed
+  std::uint64_t revert_to = 0; // the revision that an unconfirmed change, or a rollback, returns to
+  std::string commit_id;       // the client's name for an unconfirmed change
 };
 
 class Journal { // durable: append returns once the revision would survive a crash, or throws and it may or
@@ -26,7 +26,7 @@
  public:
   virtual ~Journal() = default;
   virtual std::vector<Revision>
-  read() const = 0; // in the order of their numbers, the last of a number in force
+  read_revisions() const = 0; // in the order of their numbers, the last of a number in force
   virtual void append(const Revision &revision) = 0;
 };
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,50 +13,51 @@
 
 namespace {
 
-constexpr char kRevisions[] = "revision/", kAfterRevisions[] = "revision0"; // '0' comes after '/'
-constexpr char kSubscribers[] = "subscriber/";
+constexpr char kRevisionPrefix[] = "revision/", kRevisionsEnd[] = "revision0"; // '0' comes after '/'
+constexpr char kSubscriberPrefix[] = "subscriber/";
 
-std::string key_of(std::uint64_t number) { // keys in the order of their numbers
+std::string revision_key(std::uint64_t number) { // keys in the order of their numbers
   char key[40];
-  std::snprintf(key, sizeof key, "%s%020llu", kRevisions, static_cast<unsigned long long>(number));
+  std::snprintf(key, sizeof key, "%s%020llu", kRevisionPrefix, static_cast<unsigned long long>(number));
   return key;
 }
 
-void check(const rocksdb::Status &status, const char *doing) {
-  if (!status.ok()) throw StoreError(std::string("the store, ") + doing + ": " + status.ToString());
+void check(const rocksdb::Status &status, const char *operation) {
+  if (!status.ok()) throw StoreError(std::string("the store, ") + operation + ": " + status.ToString());
 }
 
-std::string pack(const Revision &r) {
-  return Json{
-      {"number", r.number}, {"document", r.document},     {"user", r.user},       {"cause", r.cause},
-      {"at", r.at},         {"confirm_by", r.confirm_by}, {"back_to", r.back_to}, {"commit_id", r.commit_id}}
+std::string serialize(const Revision &r) {
+  return Json{{"number", r.number},     {"document", r.document},  {"user", r.user},
+              {"cause", r.cause},       {"at", r.committed_at},    {"confirm_by", r.confirm_deadline},
+              {"back_to", r.revert_to}, {"commit_id", r.commit_id}}
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Revision unpack(const std::string &key, const std::string &text) {
+Revision deserialize(const std::string &key, const std::string &text) {
   try {
     Json j = Json::parse(text);
     Revision r{j.at("number"), j.at("document"),   j.at("user"),    j.at("cause"),
                j.at("at"),     j.at("confirm_by"), j.at("back_to"), j.at("commit_id")};
-    if (key_of(r.number) == key) return r;
+    if (revision_key(r.number) == key) return r;
   } catch (const Json::exception &) {
   }
   throw StoreError("the store holds something else than a revision at " + key);
 }
 
-std::vector<Revision> read_all(rocksdb::DB &db) {
+std::vector<Revision> read_revision_range(rocksdb::DB &db) {
   std::vector<Revision> out;
-  std::unique_ptr<rocksdb::Iterator> at(db.NewIterator(rocksdb::ReadOptions()));
-  for (at->Seek(kRevisions); at->Valid() && at->key().compare(kAfterRevisions) < 0; at->Next()) {
-    out.push_back(unpack(at->key().ToString(), at->value().ToString()));
+  std::unique_ptr<rocksdb::Iterator> iterator(db.NewIterator(rocksdb::ReadOptions()));
+  for (iterator->Seek(kRevisionPrefix); iterator->Valid() && iterator->key().compare(kRevisionsEnd) < 0;
+       iterator->Next()) {
+    out.push_back(deserialize(iterator->key().ToString(), iterator->value().ToString()));
     if (out.size() > 1 && out[out.size() - 2].number + 1 != out.back().number)
       throw StoreError("the history lacks revision " + std::to_string(out[out.size() - 2].number + 1));
   }
-  check(at->status(), "reading the history");
+  check(iterator->status(), "reading the history");
   return out;
 }
 
-rocksdb::Options options() {
+rocksdb::Options database_options() {
   rocksdb::Options options;
   options.create_if_missing = true;
   options.write_buffer_size =
@@ -70,22 +71,25 @@
 
 } // namespace
 
-Store::Store(std::string folder, std::size_t kept) : folder_(std::move(folder)), kept_(kept) { open(); }
+Store::Store(std::string folder, std::size_t max_revisions)
+    : folder_(std::move(folder)), max_revisions_(max_revisions) {
+  open();
+}
 Store::~Store() = default;
 
 void Store::open() {
   rocksdb::DB *db = nullptr;
-  check(rocksdb::DB::Open(options(), folder_, &db), "opening");
+  check(rocksdb::DB::Open(database_options(), folder_, &db), "opening");
   db_.reset(db);
   // A smaller number to keep than before, or a crash between: what is older goes now.
   std::unique_ptr<rocksdb::Iterator> last(db_->NewIterator(rocksdb::ReadOptions()));
-  last->SeekForPrev(kAfterRevisions);
-  if (!last->Valid() || !last->key().starts_with(kRevisions)) return;
-  std::uint64_t newest = std::stoull(last->key().ToString().substr(sizeof kRevisions - 1));
+  last->SeekForPrev(kRevisionsEnd);
+  if (!last->Valid() || !last->key().starts_with(kRevisionPrefix)) return;
+  std::uint64_t newest = std::stoull(last->key().ToString().substr(sizeof kRevisionPrefix - 1));
   last.reset();
-  if (newest > kept_)
-    check(db_->DeleteRange(rocksdb::WriteOptions(), db_->DefaultColumnFamily(), kRevisions,
-                           key_of(newest - kept_ + 1)),
+  if (newest > max_revisions_)
+    check(db_->DeleteRange(rocksdb::WriteOptions(), db_->DefaultColumnFamily(), kRevisionPrefix,
+                           revision_key(newest - max_revisions_ + 1)),
           "dropping old revisions");
 }
 
@@ -95,16 +99,17 @@
   open();
 }
 
-std::vector<Revision> Store::read() const {
+std::vector<Revision> Store::read_revisions() const {
   if (!db_) throw StoreError("the store is shut");
-  return read_all(*db_);
+  return read_revision_range(*db_);
 }
 
 void Store::append(const Revision &revision) {
   if (!db_) throw StoreError("the store is shut");
   rocksdb::WriteBatch batch;
-  check(batch.Put(key_of(revision.number), pack(revision)), "writing a revision");
-  if (revision.number > kept_) check(batch.Delete(key_of(revision.number - kept_)), "writing a revision");
+  check(batch.Put(revision_key(revision.number), serialize(revision)), "writing a revision");
+  if (revision.number > max_revisions_)
+    check(batch.Delete(revision_key(revision.number - max_revisions_)), "writing a revision");
   rocksdb::WriteOptions durable;
   durable.sync = true;
   check(db_->Write(durable, &batch), "writing a revision");
@@ -126,31 +131,32 @@
   return value;
 }
 
-std::string Store::text(const std::string &name) const { return get("text/" + name).value_or(""); }
+std::string Store::get_text(const std::string &name) const { return get("text/" + name).value_or(""); }
 void Store::put_text(const std::string &name, const std::string &text) { put("text/" + name, text); }
 
 std::map<std::string, std::uint64_t> Store::positions() const {
   if (!db_) throw StoreError("the store is shut");
   std::map<std::string, std::uint64_t> out;
-  std::unique_ptr<rocksdb::Iterator> at(db_->NewIterator(rocksdb::ReadOptions()));
-  for (at->Seek(kSubscribers); at->Valid() && at->key().starts_with(kSubscribers); at->Next())
-    out[at->key().ToString().substr(sizeof kSubscribers - 1)] =
-        std::strtoull(at->value().ToString().c_str(), nullptr, 10);
-  check(at->status(), "reading positions");
+  std::unique_ptr<rocksdb::Iterator> iterator(db_->NewIterator(rocksdb::ReadOptions()));
+  for (iterator->Seek(kSubscriberPrefix); iterator->Valid() && iterator->key().starts_with(kSubscriberPrefix);
+       iterator->Next())
+    out[iterator->key().ToString().substr(sizeof kSubscriberPrefix - 1)] =
+        std::strtoull(iterator->value().ToString().c_str(), nullptr, 10);
+  check(iterator->status(), "reading positions");
   return out;
 }
 
 void Store::put_position(const std::string &subscriber, std::uint64_t revision) {
-  put(kSubscribers + subscriber, std::to_string(revision));
+  put(kSubscriberPrefix + subscriber, std::to_string(revision));
 }
 
-std::vector<Revision> Store::peek(const std::string &folder) {
+std::vector<Revision> Store::read_history_read_only(const std::string &folder) {
   rocksdb::DB *db = nullptr;
-  rocksdb::Options only_read = options();
-  only_read.create_if_missing = false;
-  check(rocksdb::DB::OpenForReadOnly(only_read, folder, &db), "opening to read");
+  rocksdb::Options read_only_options = database_options();
+  read_only_options.create_if_missing = false;
+  check(rocksdb::DB::OpenForReadOnly(read_only_options, folder, &db), "opening to read");
   std::unique_ptr<rocksdb::DB> owned(db);
-  return read_all(*owned);
+  return read_revision_range(*owned);
 }
 
 } // namespace snowshore::store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -24,14 +24,15 @@
 class Store final : public management::Journal {
  public:
   // Opens or makes the folder; keeps the newest so many revisions. Throws StoreError.
-  Store(std::string folder, std::size_t kept);
+  Store(std::string folder, std::size_t max_revisions);
   ~Store() override;
   Store(const Store &) = delete;
 
-  std::vector<management::Revision> read() const override; // throws also for a history that is not whole
+  std::vector<management::Revision>
+  read_revisions() const override; // throws also for a history that is not whole
   void append(const management::Revision &revision) override;
 
-  std::string text(const std::string &name) const; // empty: never put
+  std::string get_text(const std::string &name) const; // empty: never put
   void put_text(const std::string &name, const std::string &text);
   // Where a subscriber, by its name, has got to.
   std::map<std::string, std::uint64_t> positions() const;
@@ -39,14 +40,14 @@
 
   void reopen(); // after an error; throws where it still cannot
   // For reading a history without owning it, while a front has the store open.
-  static std::vector<management::Revision> peek(const std::string &folder);
+  static std::vector<management::Revision> read_history_read_only(const std::string &folder);
 
  private:
   void open();
   void put(const std::string &key, const std::string &value);
   std::optional<std::string> get(const std::string &key) const;
   std::string folder_;
-  std::size_t kept_;
+  std::size_t max_revisions_;
   std::unique_ptr<rocksdb::DB> db_;
 };
 
--- a/tests/management/test_manager.cpp
+++ b/tests/management/test_manager.cpp
@@ -153,7 +153,7 @@
       CHECK((!is_old || row.may_be_old));
       CHECK((!is_new || row.may_be_new));
       CHECK(rig.front.open_plays == open_plays_in(tree)); // what runs is what is told
-      CHECK((rig.manager.in_force()->confirm_by > 0) == (is_new && !confirmed));
+      CHECK((rig.manager.in_force()->confirm_deadline > 0) == (is_new && !confirmed));
     }
   }
 }
@@ -171,7 +171,7 @@
     REQUIRE(child.hear(at_start));
     // The kill may have come between the durable write and its being told.
     if (!expected.empty() && at_start != expected) {
-      auto history = store::Store::peek(folder.name);
+      auto history = store::Store::read_history_read_only(folder.name);
       std::string before = history[history.size() - 2].document;
       differ += before != expected && history.back().user == "ana";
     }
@@ -223,13 +223,13 @@
   }
   {
     store::Store store(folder.name, 1000); // as if the clock had been an hour ahead until now
-    auto last = store.read().back();
-    last.at += 3600, last.confirm_by = last.at + 0.3, last.back_to = 1;
+    auto last = store.read_revisions().back();
+    last.committed_at += 3600, last.confirm_deadline = last.committed_at + 0.3, last.revert_to = 1;
     store.append(last);
   }
   Rig rig(folder.name);
-  CHECK(rig.manager.now() >= rig.manager.history().back().at); // never before what was written
-  CHECK(rig.manager.in_force()->confirm_by > 0);
+  CHECK(rig.manager.now() >= rig.manager.history().back().committed_at); // never before what was written
+  CHECK(rig.manager.in_force()->confirm_deadline > 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(350));
   rig.manager.tick();
   CHECK(rig.in_force() == before); // and no later than its own time after the start
@@ -318,7 +318,7 @@
   setrlimit(RLIMIT_FSIZE, &before);
   CHECK(rig.set(kOpenPlays, 5000).refusal == Refusal::none);
   CHECK(rig.front.open_plays == 5000);
-  CHECK(rig.store.read().back().document == rig.in_force());
+  CHECK(rig.store.read_revisions().back().document == rig.in_force());
 }
 
 TEST_CASE("the record's files: read again, and changed between two starts") {
@@ -336,7 +336,7 @@
     Rig rig(folder.name,
             "name: \"edge-1\"\nlimits: connections: 77\nhall: \"north\""); // other files: they hold
     CHECK(rig.front.open_plays == 20000);
-    CHECK(rig.manager.in_force()->confirm_by == 0);
+    CHECK(rig.manager.in_force()->confirm_deadline == 0);
     CHECK(rig.manager.history().back().user == "files");
     CHECK(rig.manager.take_files(front_record("limits: open_plays: 9"), "SIGHUP").refusal ==
           Refusal::not_now);
--- a/tests/management/test_transaction.cpp
+++ b/tests/management/test_transaction.cpp
@@ -22,7 +22,7 @@
   void step() {
     if (steps++ == die_at) throw Killed();
   }
-  std::vector<Revision> read() const override { return disk; }
+  std::vector<Revision> read_revisions() const override { return disk; }
   void append(const Revision &revision) override {
     step(); // before the durable write
     disk.push_back(revision);
--- a/tests/store/test_store.cpp
+++ b/tests/store/test_store.cpp
@@ -28,21 +28,21 @@
     Store store(folder.name, 20);
     for (std::uint64_t i = 1; i <= 50; ++i) store.append(revision(i, "doc" + std::to_string(i)));
     management::Revision last = revision(50, "again");
-    last.confirm_by = 99;
+    last.confirm_deadline = 99;
     store.append(last);
     store.put_position("noc", 17);
-    CHECK_THROWS_AS(Store(folder.name, 20), StoreError); // one process at a time
-    CHECK(Store::peek(folder.name).size() == 20);        // but another may look
+    CHECK_THROWS_AS(Store(folder.name, 20), StoreError);            // one process at a time
+    CHECK(Store::read_history_read_only(folder.name).size() == 20); // but another may look
   }
   Store store(folder.name, 20);
-  auto history = store.read();
+  auto history = store.read_revisions();
   REQUIRE(history.size() == 20);
   CHECK(history.front().number == 31);
   CHECK(history.back().document == "again");
-  CHECK(history.back().confirm_by == 99);
+  CHECK(history.back().confirm_deadline == 99);
   CHECK(history.back().cause == "test \"quoted\"");
   CHECK(store.positions() == std::map<std::string, std::uint64_t>{{"noc", 17}});
-  CHECK(store.text("records").empty());
+  CHECK(store.get_text("records").empty());
 }
 
 TEST_CASE("fewer revisions kept than before: the older ones go at the opening") {
@@ -52,10 +52,10 @@
     for (std::uint64_t i = 1; i <= 40; ++i) store.append(revision(i));
   }
   Store store(folder.name, 12);
-  REQUIRE(store.read().size() == 12);
+  REQUIRE(store.read_revisions().size() == 12);
   store.append(revision(41));
-  CHECK(store.read().size() == 12);
-  CHECK(store.read().front().number == 30);
+  CHECK(store.read_revisions().size() == 12);
+  CHECK(store.read_revisions().front().number == 30);
 }
 
 TEST_CASE("killed in the middle of writing: what had returned is there, whole and without a gap") {
@@ -82,7 +82,7 @@
     close(pipe_ends[0]);
     waitpid(child, nullptr, 0);
     Store store(folder.name, 1000);
-    auto history = store.read();
+    auto history = store.read_revisions();
     CAPTURE(round, returned);
     CHECK(history.size() >= returned);
     CHECK(history.size() <= returned + 1);
@@ -110,11 +110,11 @@
   setrlimit(RLIMIT_FSIZE, &before);
   CHECK(why.find("writing a revision") != std::string::npos);
   store.reopen();
-  auto history = store.read();
+  auto history = store.read_revisions();
   CHECK(history.size() >= taken);
   CHECK(history.size() <= taken + 1);
   store.append(revision(history.back().number + 1));
-  CHECK(store.read().size() == history.size() + 1);
+  CHECK(store.read_revisions().size() == history.size() + 1);
 }
 
 TEST_CASE("a history that was tampered with is told, never read as something else") {
@@ -122,7 +122,7 @@
   {
     Store store(folder.name, 1000);
     for (std::uint64_t i : {1, 2, 4}) store.append(revision(i));
-    CHECK_THROWS_WITH(store.read(), Catch::Contains("lacks revision 3"));
+    CHECK_THROWS_WITH(store.read_revisions(), Catch::Contains("lacks revision 3"));
   }
   std::ofstream(folder.name + "/CURRENT") << "nothing\n";
   CHECK_THROWS_AS(Store(folder.name, 1000), StoreError);
