--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using management::Kind;
+using management::DataType;
 using management::ManagementClient;
 using management::Reply;
 using model::Edit;
@@ -28,7 +28,7 @@
   management::Target target;
   std::string path = "/", value, type = "all", cause, commit_id, store;
   std::vector<std::string> files, more_edits;
-  std::uint64_t revision = 0, from = 0, to = 0, read_at = 0;
+  std::uint64_t revision = 0, from = 0, to = 0, expected_revision = 0;
   double confirm_within = 0, sample = 0;
   bool remove = false, replace = false, cancel = false;
 };
@@ -64,7 +64,9 @@
 int get() {
   ManagementClient client(given.target);
   std::vector<PathValue> leaves;
-  Kind kind = given.type == "config" ? Kind::configuration : given.type == "state" ? Kind::state : Kind::all;
+  DataType kind = given.type == "config"  ? DataType::configuration
+                  : given.type == "state" ? DataType::state
+                                          : DataType::all;
   Reply reply = client.get({parse_path(given.path)}, kind, leaves);
   if (!reply.ok()) return refused(reply);
   print(leaves);
@@ -86,7 +88,7 @@
   }
   management::SetOptions options;
   options.cause = given.cause;
-  if (given.read_at > 0) options.read_at = given.read_at;
+  if (given.expected_revision > 0) options.expected_revision = given.expected_revision;
   if (given.confirm_within > 0) {
     options.commit = management::SetOptions::Commit::request;
     options.confirm_within = given.confirm_within;
@@ -105,7 +107,7 @@
 
 int rollback() {
   management::SetOptions options;
-  options.roll_back = given.revision;
+  options.rollback_revision = given.revision;
   return done(ManagementClient(given.target).set({}, options));
 }
 
@@ -144,7 +146,7 @@
     return diff_documents(model, from, to);
   }
   std::vector<PathValue> running;
-  Reply reply = ManagementClient(given.target).get({parse_path("/front")}, Kind::configuration, running);
+  Reply reply = ManagementClient(given.target).get({parse_path("/front")}, DataType::configuration, running);
   if (!reply.ok()) return refused(reply);
   if (running.size() != 1) throw std::runtime_error("the front told of no configuration");
   std::string document = model.validate(Json{{"snowshore:front", running[0].value}}.dump());
@@ -167,8 +169,8 @@
     return 0;
   }
   std::vector<PathValue> entries;
-  Reply reply =
-      ManagementClient(given.target).get({parse_path("/state/history[revision=*]")}, Kind::state, entries);
+  Reply reply = ManagementClient(given.target)
+                    .get({parse_path("/state/history[revision=*]")}, DataType::state, entries);
   if (!reply.ok()) return refused(reply);
   for (const PathValue &entry : entries) {
     const Json &v = entry.value;
@@ -202,7 +204,7 @@
   one->add_flag("--replace", given.replace, "All that stands there");
   one->add_option("--and", given.more_edits, "PATH=VALUE, in the same change; may be given again");
   one->add_option("--cause", given.cause, "For the history");
-  one->add_option("--read-at", given.read_at, "Refuse it if another revision is in force");
+  one->add_option("--read-at", given.expected_revision, "Refuse it if another revision is in force");
   one->add_option("--confirm-within", given.confirm_within, "Seconds; undone where no confirm comes");
   one->add_option("--id", given.commit_id, "Of the change to confirm");
   one->footer(
--- a/src/lab/manage.cpp
+++ b/src/lab/manage.cpp
@@ -129,7 +129,7 @@
 
   bool read(std::string &into) {
     std::vector<model::PathValue> leaves;
-    Reply reply = client_->get({parse_path("/front")}, management::Kind::configuration, leaves);
+    Reply reply = client_->get({parse_path("/front")}, management::DataType::configuration, leaves);
     if (!reply.ok() || leaves.size() != 1) return false;
     into = leaves[0].value.dump();
     revision_ = reply.revision;
@@ -153,7 +153,7 @@
     if (back) {
       auto it = known_.begin();
       std::advance(it, static_cast<std::ptrdiff_t>(chance_() % known_.size()));
-      options.roll_back = it->first;
+      options.rollback_revision = it->first;
       edits.clear();
       next = it->second;
     } else if (!wrong) {
@@ -321,7 +321,7 @@
     if (!reply.ok()) throw std::runtime_error("a set under load: " + reply.message);
     times.push_back(since(from));
     std::vector<model::PathValue> leaves;
-    client.get({parse_path("/state")}, management::Kind::state, leaves);
+    client.get({parse_path("/state")}, management::DataType::state, leaves);
     next += std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(1 / a_second));
     std::this_thread::sleep_until(next);
   }
@@ -342,7 +342,7 @@
   }
   auto from = Clock::now();
   store::Store store(folder, kept);
-  management::Manager manager(model, store, kept, "lab");
+  management::ConfigManager manager(model, store, kept, "lab");
   manager.start(record);
   return since(from);
 }
--- a/src/management/access.cpp
+++ b/src/management/access.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::vector<std::string> all_of(const grpc::AuthContext &context, const char *property) {
+std::vector<std::string> property_values(const grpc::AuthContext &context, const char *property) {
   std::vector<std::string> out;
   for (const grpc::string_ref &value : context.FindPropertyValues(property))
     out.emplace_back(value.data(), value.size());
@@ -24,19 +24,19 @@
 
 } // namespace
 
-const std::string &Client::name() const {
+const std::string &ClientIdentity::name() const {
   static const std::string kLoopback = "loopback", kNobody = "nobody";
   return !names.empty() ? names[0] : plaintext ? kLoopback : kNobody;
 }
 
-std::string certificate_text(const std::string &file) {
+std::string read_pem_file(const std::string &file) {
   std::ifstream in(file);
   std::string text((std::istreambuf_iterator<char>(in)), {});
   if (text.empty()) throw std::runtime_error("management: " + file + " cannot be read");
   return text;
 }
 
-double expiry_of(const std::string &pem) {
+double certificate_expiry(const std::string &pem) {
   std::unique_ptr<BIO, decltype(&BIO_free)> bio(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())),
                                                 BIO_free);
   std::unique_ptr<X509, decltype(&X509_free)> x509(PEM_read_bio_X509(bio.get(), nullptr, nullptr, nullptr),
@@ -46,27 +46,27 @@
   return static_cast<double>(timegm(&end));
 }
 
-Client client_of(const grpc::ServerContextBase &context, bool plaintext) {
-  Client client;
+ClientIdentity identify_client(const grpc::ServerContextBase &context, bool plaintext) {
+  ClientIdentity client;
   client.plaintext = plaintext;
   auto peer = context.auth_context();
   if (plaintext || !peer || !peer->IsPeerAuthenticated()) return client;
-  client.names = all_of(*peer, GRPC_X509_CN_PROPERTY_NAME);
-  for (std::string &name : all_of(*peer, GRPC_X509_SAN_PROPERTY_NAME))
+  client.names = property_values(*peer, GRPC_X509_CN_PROPERTY_NAME);
+  for (std::string &name : property_values(*peer, GRPC_X509_SAN_PROPERTY_NAME))
     client.names.push_back(std::move(name));
-  auto pem = all_of(*peer, GRPC_X509_PEM_CERT_PROPERTY_NAME);
-  if (!pem.empty()) client.expires_at = expiry_of(pem[0]);
+  auto pem = property_values(*peer, GRPC_X509_PEM_CERT_PROPERTY_NAME);
+  if (!pem.empty()) client.expires_at = certificate_expiry(pem[0]);
   return client;
 }
 
-bool may(const Client &client, Right right, const site::ManagementTerms &terms) {
+bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementTerms &terms) {
   if (client.plaintext) return true;
   auto listed = [&](const std::vector<std::string> &allowed) {
     return std::ranges::any_of(client.names, [&](const std::string &name) {
       return std::ranges::find(allowed, name) != allowed.end();
     });
   };
-  return listed(terms.setters) || (right == Right::read && listed(terms.readers));
+  return listed(terms.setters) || (right == Permission::read && listed(terms.readers));
 }
 
 } // namespace snowshore::management
--- a/src/management/access.h
+++ b/src/management/access.h
@@ -9,21 +9,21 @@
 
 namespace snowshore::management {
 
-struct Client {
+struct ClientIdentity {
   std::vector<std::string> names; // of its certificate: common name, then alternative names
   double expires_at = 0;          // of its certificate, epoch seconds; 0: it has none
   bool plaintext = false;         // on loopback, where the record asks for it
   const std::string &name() const;
 };
 
-enum class Right { read, set };
+enum class Permission { read, set };
 
-Client client_of(const grpc::ServerContextBase &context, bool plaintext);
+ClientIdentity identify_client(const grpc::ServerContextBase &context, bool plaintext);
 // Whether it may; a plaintext client on loopback may all.
-bool may(const Client &client, Right right, const site::ManagementTerms &terms);
+bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementTerms &terms);
 
 // A certificate's or key's text; throws std::runtime_error naming a file that holds none.
-std::string certificate_text(const std::string &file);
-double expiry_of(const std::string &certificate_pem); // epoch seconds; 0 where it cannot be read
+std::string read_pem_file(const std::string &file);
+double certificate_expiry(const std::string &certificate_pem); // epoch seconds; 0 where it cannot be read
 
 } // namespace snowshore::management
--- a/src/management/client.cpp
+++ b/src/management/client.cpp
@@ -29,10 +29,10 @@
   if (target.authority.empty())
     return grpc::CreateCustomChannel(target.address, grpc::InsecureChannelCredentials(), arguments);
   grpc::SslCredentialsOptions options;
-  options.pem_root_certs = certificate_text(target.authority);
+  options.pem_root_certs = read_pem_file(target.authority);
   if (!target.certificate.empty()) {
-    options.pem_cert_chain = certificate_text(target.certificate);
-    options.pem_private_key = certificate_text(target.key);
+    options.pem_cert_chain = read_pem_file(target.certificate);
+    options.pem_private_key = read_pem_file(target.key);
   }
   if (!target.server_name.empty()) arguments.SetSslTargetNameOverride(target.server_name);
   return grpc::CreateCustomChannel(target.address, grpc::SslCredentials(options), arguments);
@@ -56,24 +56,24 @@
 ManagementClient::ManagementClient(const Target &target) : channel_(std::make_unique<Channel>(target)) {}
 ManagementClient::~ManagementClient() = default;
 
-Reply ManagementClient::get(const std::vector<Path> &paths, Kind kind, std::vector<model::PathValue> &into,
-                            double seconds) {
+Reply ManagementClient::get(const std::vector<Path> &paths, DataType kind,
+                            std::vector<model::PathValue> &into, double seconds) {
   grpc::ClientContext context;
   within(context, seconds);
   gnmi::GetRequest request;
   request.set_encoding(gnmi::JSON_IETF);
-  request.set_type(kind == Kind::configuration ? gnmi::GetRequest::CONFIG
-                   : kind == Kind::state       ? gnmi::GetRequest::STATE
-                                               : gnmi::GetRequest::ALL);
-  for (const Path &path : paths) write_path(path, *request.add_path());
+  request.set_type(kind == DataType::configuration ? gnmi::GetRequest::CONFIG
+                   : kind == DataType::state       ? gnmi::GetRequest::STATE
+                                                   : gnmi::GetRequest::ALL);
+  for (const Path &path : paths) encode_path(path, *request.add_path());
   gnmi::GetResponse response;
   Reply reply = reply_of(channel_->stub->Get(&context, request, &response));
   if (!reply.ok()) return reply;
   for (const gnmi::Notification &notification : response.notification()) {
     for (const gnmi::Update &update : notification.update())
-      into.push_back({read_path({}, update.path()), read_value(update.val(), {})});
+      into.push_back({decode_path({}, update.path()), decode_value(update.val(), {})});
   }
-  reply.revision = whole(read_more(response.extension()), "revision").value_or(0);
+  reply.revision = optional_uint64(decode_extension(response.extension()), "revision").value_or(0);
   return reply;
 }
 
@@ -84,19 +84,19 @@
   gnmi::SetRequest request;
   for (const model::Edit &edit : edits) {
     if (edit.kind == model::Edit::Kind::remove) {
-      write_path(edit.path, *request.add_delete_());
+      encode_path(edit.path, *request.add_delete_());
       continue;
     }
     gnmi::Update *update =
         edit.kind == model::Edit::Kind::replace ? request.add_replace() : request.add_update();
-    write_path(edit.path, *update->mutable_path());
-    write_value(edit.value, *update->mutable_val());
+    encode_path(edit.path, *update->mutable_path());
+    encode_value(edit.value, *update->mutable_val());
   }
   Json more = Json::object();
   if (!options.cause.empty()) more["cause"] = options.cause;
-  if (options.read_at) more["revision"] = *options.read_at;
-  if (options.roll_back) more["roll_back"] = *options.roll_back;
-  if (!more.empty()) write_more(more, *request.mutable_extension());
+  if (options.expected_revision) more["revision"] = *options.expected_revision;
+  if (options.rollback_revision) more["roll_back"] = *options.rollback_revision;
+  if (!more.empty()) encode_extension(more, *request.mutable_extension());
   if (options.commit != SetOptions::Commit::none) {
     gnmi_ext::Commit *commit = request.add_extension()->mutable_commit();
     commit->set_id(options.commit_id);
@@ -113,7 +113,8 @@
   }
   gnmi::SetResponse response;
   Reply reply = reply_of(channel_->stub->Set(&context, request, &response));
-  if (reply.ok()) reply.revision = whole(read_more(response.extension()), "revision").value_or(0);
+  if (reply.ok())
+    reply.revision = optional_uint64(decode_extension(response.extension()), "revision").value_or(0);
   return reply;
 }
 
@@ -136,8 +137,9 @@
   std::thread thread;
 };
 
-Watch::Watch(const Target &target, Options options, Told told)
-    : target_(target), options_(std::move(options)), told_(std::move(told)), run_(std::make_unique<Run>()) {
+Watch::Watch(const Target &target, Options options, UpdateCallback told)
+    : target_(target), options_(std::move(options)), on_update_(std::move(told)),
+      run_(std::make_unique<Run>()) {
   run_->thread = std::thread([this] { follow(); });
 }
 
@@ -166,11 +168,11 @@
     else
       view_.erase(it);
   }
-  if (told_) told_(path, value);
+  if (on_update_) on_update_(path, value);
 }
 
 void Watch::follow() {
-  double pause = options_.first_pause;
+  double pause = options_.initial_backoff;
   while (state_.load() != State::ended) {
     become(State::connecting);
     ManagementClient client(target_);
@@ -186,7 +188,7 @@
     list.set_encoding(gnmi::JSON_IETF);
     for (const Path &path : options_.paths) {
       gnmi::Subscription *one = list.add_subscription();
-      write_path(path, *one->mutable_path());
+      encode_path(path, *one->mutable_path());
       one->set_mode(options_.sample > 0 ? gnmi::SAMPLE : gnmi::ON_CHANGE);
       one->set_sample_interval(static_cast<std::uint64_t>(options_.sample * 1e9));
       one->set_suppress_redundant(true);
@@ -194,7 +196,7 @@
     Json more = Json::object();
     if (!options_.name.empty()) more["name"] = options_.name;
     if (revision_ > 0) more["resume"] = revision_.load();
-    write_more(more, *request.mutable_extension());
+    encode_extension(more, *request.mutable_extension());
     ++streams_;
     bool resumed = false, synced = false;
     std::set<std::string> seen; // until in step: what the front has; the rest of the view is gone there
@@ -202,15 +204,15 @@
       become(State::syncing);
       gnmi::SubscribeResponse response;
       while (stream->Read(&response)) {
-        pause = options_.first_pause;
+        pause = options_.initial_backoff;
         Json says = Json::object();
         try {
-          says = read_more(response.extension());
+          says = decode_extension(response.extension());
           for (const gnmi::Path &gone : response.update().delete_())
-            take(model::path_to_text(read_path({}, gone)), nullptr);
+            take(model::path_to_text(decode_path({}, gone)), nullptr);
           for (const gnmi::Update &update : response.update().update()) {
-            std::string path = model::path_to_text(read_path({}, update.path()));
-            Json value = read_value(update.val(), {});
+            std::string path = model::path_to_text(decode_path({}, update.path()));
+            Json value = decode_value(update.val(), {});
             take(path, &value);
             if (!synced) seen.insert(std::move(path));
           }
@@ -238,7 +240,7 @@
     become(State::pausing);
     run_->wake.wait_for(lock, std::chrono::duration<double>(pause), [&] { return run_->ended; });
     if (run_->ended) return become(State::ended);
-    pause = std::min(pause * 2, options_.longest_pause);
+    pause = std::min(pause * 2, options_.max_backoff);
   }
 }
 
--- a/src/management/client.h
+++ b/src/management/client.h
@@ -27,20 +27,20 @@
 
 struct SetOptions {
   std::string cause;
-  std::optional<std::uint64_t> read_at, roll_back;
+  std::optional<std::uint64_t> expected_revision, rollback_revision;
   std::string commit_id;
   double confirm_within = 0;
   enum class Commit { none, request, confirm, cancel } commit = Commit::none;
 };
 
-enum class Kind { all, configuration, state };
+enum class DataType { all, configuration, state };
 
 class ManagementClient {
  public:
   explicit ManagementClient(const Target &target);
   ~ManagementClient();
   // Each waits at most so many seconds.
-  Reply get(const std::vector<model::Path> &paths, Kind kind, std::vector<model::PathValue> &into,
+  Reply get(const std::vector<model::Path> &paths, DataType kind, std::vector<model::PathValue> &into,
             double within = 5);
   Reply set(const std::vector<model::Edit> &edits, const SetOptions &options = {}, double within = 5);
   Reply capabilities(std::string &into, double within = 5);
@@ -55,19 +55,20 @@
  public:
   struct Options {
     std::vector<model::Path> paths;
-    std::string name;          // told to the front, for its list of subscribers
-    double sample = 0;         // seconds; 0: on change
-    double first_pause = 0.05; // before coming again, doubling
-    double longest_pause = 2;
+    std::string name;              // told to the front, for its list of subscribers
+    double sample = 0;             // seconds; 0: on change
+    double initial_backoff = 0.05; // before coming again, doubling
+    double max_backoff = 2;
   };
-  using Told = std::function<void(const std::string &path, const model::Json *value)>; // none: it is gone
-  Watch(const Target &target, Options options, Told told = {});
+  using UpdateCallback =
+      std::function<void(const std::string &path, const model::Json *value)>; // none: it is gone
+  Watch(const Target &target, Options options, UpdateCallback told = {});
   ~Watch(); // ends the stream
 
   std::map<std::string, model::Json> view() const;
   std::uint64_t revision() const { return revision_; } // had whole; 0: none yet
-  std::uint64_t streams() const { return streams_; }   // begun so far
-  std::uint64_t resumed() const { return resumed_; } // of them, those that went on from where the last ended
+  std::uint64_t streams_started() const { return streams_; }   // begun so far
+  std::uint64_t streams_resumed() const { return resumed_; } // of them, those that went on from where the last ended
 
  private:
   struct Run;
@@ -77,7 +78,7 @@
   void take(const std::string &path, const model::Json *value);
   Target target_;
   Options options_;
-  Told told_;
+  UpdateCallback on_update_;
   mutable std::mutex mutex_;
   std::map<std::string, model::Json> view_;
   std::atomic<std::uint64_t> revision_{0}, streams_{0}, resumed_{0};
--- a/src/management/follower.cpp
+++ b/src/management/follower.cpp
@@ -6,7 +6,7 @@
 
 namespace snowshore::management {
 
-Follower::Follower(std::vector<Subscription> subscriptions, double now) {
+SubscriptionTracker::SubscriptionTracker(std::vector<Subscription> subscriptions, double now) {
   for (Subscription &one : subscriptions) {
     Line line{std::move(one), now, 0, {}};
     line.next_heartbeat = line.what.heartbeat > 0 ? now + line.what.heartbeat : INFINITY;
@@ -15,7 +15,7 @@
   }
 }
 
-Follower::Batch Follower::due(double now, const Values &values) {
+SubscriptionTracker::Batch SubscriptionTracker::collect_due(double now, const Values &values) {
   Batch batch;
   std::set<std::string> told; // by this batch already, for an earlier line
   for (Line &line : lines_) {
@@ -45,7 +45,7 @@
   return batch;
 }
 
-void Follower::has(const std::vector<model::PathValue> &leaves) {
+void SubscriptionTracker::mark_sent(const std::vector<model::PathValue> &leaves) {
   for (Line &line : lines_) {
     for (const model::PathValue &leaf : leaves) {
       if (model::covers(line.what.path, leaf.path)) line.sent[model::path_to_text(leaf.path)] = {leaf, false};
@@ -53,13 +53,13 @@
   }
 }
 
-double Follower::next_due() const {
+double SubscriptionTracker::next_due() const {
   double next = INFINITY;
   for (const Line &line : lines_) next = std::min({next, line.next_sample, line.next_heartbeat});
   return next;
 }
 
-bool Follower::watches(std::string_view root) const {
+bool SubscriptionTracker::covers_root(std::string_view root) const {
   return std::ranges::any_of(lines_, [&](const Line &line) {
     if (line.what.path.empty()) return true;
     const std::string &name = line.what.path[0].name;
--- a/src/management/follower.h
+++ b/src/management/follower.h
@@ -18,11 +18,11 @@
   bool suppress = false; // samples that have not changed are left out
 };
 
-class Follower {
+class SubscriptionTracker {
  public:
   using Values = std::function<std::vector<model::PathValue>(const model::Path &)>; // what holds now
 
-  Follower(std::vector<Subscription> subscriptions, double now);
+  SubscriptionTracker(std::vector<Subscription> subscriptions, double now);
 
   struct Batch {
     std::vector<model::PathValue> updates;
@@ -30,12 +30,12 @@
     bool empty() const { return updates.empty() && deletes.empty(); }
   };
   // All that is due now, each path at most once, and noted as sent.
-  Batch due(double now, const Values &values);
+  Batch collect_due(double now, const Values &values);
   // Taken as sent without sending: what a subscriber that comes again has, or does not want.
-  void has(const std::vector<model::PathValue> &leaves);
+  void mark_sent(const std::vector<model::PathValue> &leaves);
   // When samples or heartbeats are due next; INFINITY: never.
   double next_due() const;
-  bool watches(std::string_view root) const; // whether any subscription may reach into /root
+  bool covers_root(std::string_view root) const; // whether any subscription may reach into /root
 
  private:
   struct Kept {
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -48,12 +48,13 @@
 
 } // namespace
 
-Manager::Manager(const model::Model &model, store::Store &store, std::size_t history, std::string version)
+ConfigManager::ConfigManager(const model::Model &model, store::Store &store, std::size_t history,
+                             std::string version)
     : model_(model), store_(store), version_(std::move(version)), transactions_(store, *this, history) {}
 
-double Manager::now() const { return clock_.exact() + ahead_; }
+double ConfigManager::now() const { return clock_.exact() + ahead_; }
 
-const Manager::Checked &Manager::checked(const std::string &document) {
+const ConfigManager::Checked &ConfigManager::checked(const std::string &document) {
   if (checked_ && checked_->document == document) return *checked_;
   records::Source file{"(configuration)", model_.to_record_text(document)};
   Checked out{document, site::read_front({&file, 1}), false, {}};
@@ -68,26 +69,27 @@
 
 // ---- The front's side of a transaction.
 
-std::optional<No> Manager::refuse(const std::string &document) {
+std::optional<Rejection> ConfigManager::check(const std::string &document) {
   try {
     const Checked &next = checked(document);
     if (!front_) return std::nullopt;
     if (next.fixed)
-      return No{Refusal::not_now,
-                *next.fixed + ": takes effect at a new start only; change the record's file"};
-    if (auto why = front_.load()->refusal_of(next.record, next.drained)) return No{Refusal::not_now, *why};
+      return Rejection{ChangeError::conflict,
+                       *next.fixed + ": takes effect at a new start only; change the record's file"};
+    if (auto why = front_.load()->check_config(next.record, next.drained))
+      return Rejection{ChangeError::conflict, *why};
     return std::nullopt;
   } catch (const records::RecordError &error) {
-    return No{Refusal::invalid, error.what()};
+    return Rejection{ChangeError::invalid, error.what()};
   } catch (const model::ModelError &error) {
-    return No{Refusal::invalid, error.what()};
+    return Rejection{ChangeError::invalid, error.what()};
   }
 }
 
-std::optional<std::string> Manager::apply(const std::string &document) {
+std::optional<std::string> ConfigManager::apply(const std::string &document) {
   const Checked &next = checked(document);
   if (front_ && document != running_) {
-    if (auto why = front_.load()->change(next.record, next.drained)) return why;
+    if (auto why = front_.load()->apply_config(next.record, next.drained)) return why;
   }
   running_ = document;
   checked_->drained = false, checked_->fixed.reset(); // against itself
@@ -96,31 +98,33 @@
 
 // ---- Before the front runs.
 
-site::FrontRecord Manager::start(const site::FrontRecord &from_files) {
+site::FrontRecord ConfigManager::start(const site::FrontRecord &from_files) {
   std::lock_guard lock(sets_);
   std::string first = model_.to_document(from_files.record);
   auto revisions = store_.read_revisions();
   if (!revisions.empty())
     ahead_ = std::max(0.0, revisions.back().committed_at - clock_.exact()); // it was set back
-  Answer answer = transactions_.recover(first, now());
-  if (answer.refusal != Refusal::none) throw std::runtime_error("the configuration in force: " + answer.why);
+  ChangeResult answer = transactions_.recover(first, now());
+  if (answer.error != ChangeError::none)
+    throw std::runtime_error("the configuration in force: " + answer.message);
   std::string before = store_.get_text("files");
   if (before != first) {
     // Written by hand and started anew: that is a change like another, and ends one that awaits confirmation.
-    if (!before.empty() && transactions_.running().document != first) {
+    if (!before.empty() && transactions_.current().document != first) {
       if (transactions_.state() == Transactions::State::awaiting_confirmation)
-        transactions_.cancel(transactions_.running().number, "files", now());
+        transactions_.cancel(transactions_.current().number, "files", now());
       answer = transactions_.set({first, "files", "the record's files changed", {}, 0, ""}, now());
-      if (answer.refusal != Refusal::none) throw std::runtime_error("the record's files: " + answer.why);
+      if (answer.error != ChangeError::none)
+        throw std::runtime_error("the record's files: " + answer.message);
     }
     store_.put_text("files", first);
   }
   positions_ = store_.positions();
   publish();
-  return checked(transactions_.running().document).record;
+  return checked(transactions_.current().document).record;
 }
 
-void Manager::attach(FrontPort *front) {
+void ConfigManager::attach(FrontControl *front) {
   std::lock_guard lock(sets_);
   front_ = front;
   if (!front) {
@@ -131,8 +135,8 @@
 
 // ---- Sets.
 
-template <class F> Answer Manager::one_at_a_time(F call) {
-  std::size_t room = in_force()->terms.sets_waiting;
+template <class F> ChangeResult ConfigManager::run_change(F call) {
+  std::size_t room = running_config()->terms.sets_waiting;
   struct Waiting {
     std::atomic<int> &count;
     explicit Waiting(std::atomic<int> &c) : count(c) { ++count; }
@@ -140,12 +144,13 @@
   } waiting(waiting_);
   if (static_cast<std::size_t>(waiting_.load()) > room) {
     ++refused_;
-    return {Refusal::overloaded, std::to_string(room) + " sets are waiting", in_force()->revision};
+    return {ChangeError::too_many_pending, std::to_string(room) + " sets are waiting",
+            running_config()->revision};
   }
   std::lock_guard lock(sets_);
-  Answer answer;
+  ChangeResult answer;
   try {
-    if (!front_) throw Ending();
+    if (!front_) throw FrontStopping();
     if (lost_track_) { // an error of the store left open what is durable
       store_.reopen();
       answer = transactions_.recover("", now());
@@ -154,90 +159,91 @@
     }
     answer = call();
   } catch (const model::ModelError &error) {
-    answer = {Refusal::invalid, error.what(), transactions_.running().number};
+    answer = {ChangeError::invalid, error.what(), transactions_.current().number};
   } catch (const records::RecordError &error) {
-    answer = {Refusal::invalid, error.what(), transactions_.running().number};
+    answer = {ChangeError::invalid, error.what(), transactions_.current().number};
   } catch (const store::StoreError &error) {
     lost_track_ = true;
-    answer = {Refusal::not_stored, error.what(), in_force()->revision};
-  } catch (const Ending &ending) {
-    answer = {Refusal::ending, ending.what(), in_force()->revision};
+    answer = {ChangeError::storage_failed, error.what(), running_config()->revision};
+  } catch (const FrontStopping &ending) {
+    answer = {ChangeError::front_stopping, ending.what(), running_config()->revision};
   }
-  ++(answer.refusal == Refusal::none ? taken_ : refused_);
+  ++(answer.error == ChangeError::none ? taken_ : refused_);
   if (!lost_track_) publish();
   return answer;
 }
 
-Answer Manager::set(const Request &request) {
-  return one_at_a_time([&] {
-    if (request.read_at && *request.read_at != transactions_.running().number)
-      return transactions_.set({"", request.user, request.cause, request.read_at, 0, ""}, now());
-    std::string next = model_.edit(transactions_.running().document, request.edits);
-    if (next == transactions_.running().document && request.confirm_within <= 0 &&
-        transactions_.state() == Transactions::State::settled)
-      return Answer{Refusal::none, "", transactions_.running().number}; // nothing changes, nothing is written
-    return transactions_.set(
-        {next, request.user, request.cause, request.read_at, request.confirm_within, request.commit_id},
-        now());
+ChangeResult ConfigManager::set(const Request &request) {
+  return run_change([&] {
+    if (request.expected_revision && *request.expected_revision != transactions_.current().number)
+      return transactions_.set({"", request.user, request.cause, request.expected_revision, 0, ""}, now());
+    std::string next = model_.edit(transactions_.current().document, request.edits);
+    if (next == transactions_.current().document && request.confirm_within <= 0 &&
+        transactions_.state() == Transactions::State::confirmed)
+      return ChangeResult{ChangeError::none, "",
+                          transactions_.current().number}; // nothing changes, nothing is written
+    return transactions_.set({next, request.user, request.cause, request.expected_revision,
+                              request.confirm_within, request.commit_id},
+                             now());
   });
 }
 
-Answer Manager::confirm(std::uint64_t revision, const std::string &user) {
-  return one_at_a_time([&] { return transactions_.confirm(revision, user, now()); });
+ChangeResult ConfigManager::confirm(std::uint64_t revision, const std::string &user) {
+  return run_change([&] { return transactions_.confirm(revision, user, now()); });
 }
 
-Answer Manager::cancel(std::uint64_t revision, const std::string &user) {
-  return one_at_a_time([&] { return transactions_.cancel(revision, user, now()); });
+ChangeResult ConfigManager::cancel(std::uint64_t revision, const std::string &user) {
+  return run_change([&] { return transactions_.cancel(revision, user, now()); });
 }
 
-Answer Manager::roll_back(std::uint64_t revision, const std::string &user) {
-  return one_at_a_time([&] { return transactions_.roll_back(revision, user, now()); });
+ChangeResult ConfigManager::roll_back(std::uint64_t revision, const std::string &user) {
+  return run_change([&] { return transactions_.roll_back(revision, user, now()); });
 }
 
-Answer Manager::take_files(const site::FrontRecord &from_files, const std::string &user) {
-  return one_at_a_time([&] {
+ChangeResult ConfigManager::apply_files(const site::FrontRecord &from_files, const std::string &user) {
+  return run_change([&] {
     std::string next = model_.to_document(from_files.record);
-    Answer answer{Refusal::none, "", transactions_.running().number};
-    if (next != transactions_.running().document)
+    ChangeResult answer{ChangeError::none, "", transactions_.current().number};
+    if (next != transactions_.current().document)
       answer = transactions_.set({next, user, "the record's files were read again", {}, 0, ""}, now());
-    if (answer.refusal == Refusal::none) store_.put_text("files", next);
+    if (answer.error == ChangeError::none) store_.put_text("files", next);
     return answer;
   });
 }
 
-std::optional<double> Manager::tick() {
+std::optional<double> ConfigManager::roll_back_expired() {
   std::lock_guard lock(sets_);
   if (!front_ || lost_track_) return std::nullopt;
   try {
     auto due = transactions_.next_due();
     if (due && now() >= *due) {
-      transactions_.tick(now());
+      transactions_.roll_back_expired(now());
       publish();
       due = transactions_.next_due();
     }
     if (due) return std::max(0.0, *due - now());
   } catch (const store::StoreError &) {
     lost_track_ = true; // the next set finds out what is durable
-  } catch (const Ending &) {
+  } catch (const FrontStopping &) {
   }
   return std::nullopt;
 }
 
 // ---- Readers.
 
-void Manager::publish() {
-  const Revision &running = transactions_.running();
-  auto next = std::make_shared<InForce>();
+void ConfigManager::publish() {
+  const Revision &running = transactions_.current();
+  auto next = std::make_shared<RunningConfig>();
   next->revision = running.number;
   next->document = running.document;
   next->confirm_deadline = running.confirm_deadline;
   next->commit_id = running.commit_id;
   std::lock_guard held(held_);
-  if (in_force_ && in_force_->revision == next->revision &&
-      in_force_->confirm_deadline == next->confirm_deadline)
+  if (running_config_ && running_config_->revision == next->revision &&
+      running_config_->confirm_deadline == next->confirm_deadline)
     return;
-  next->terms = in_force_ && in_force_->document == next->document
-                    ? in_force_->terms
+  next->terms = running_config_ && running_config_->document == next->document
+                    ? running_config_->terms
                     : checked(next->document).record.management;
   for (auto it = transactions_.history().rbegin(); it != transactions_.history().rend(); ++it) {
     auto [place, added] = revisions_.insert_or_assign(it->number, *it);
@@ -245,28 +251,28 @@
   }
   while (!revisions_.empty() && revisions_.begin()->first < transactions_.history().front().number)
     revisions_.erase(revisions_.begin());
-  in_force_ = std::move(next);
+  running_config_ = std::move(next);
   changed_.notify_all();
 }
 
-std::shared_ptr<const InForce> Manager::in_force() const {
+std::shared_ptr<const RunningConfig> ConfigManager::running_config() const {
   std::lock_guard held(held_);
-  return in_force_;
+  return running_config_;
 }
 
-bool Manager::wait_for_change(std::uint64_t revision, double seconds) const {
+bool ConfigManager::wait_for_change(std::uint64_t revision, double seconds) const {
   std::unique_lock held(held_);
   return changed_.wait_for(held, std::chrono::duration<double>(std::max(0.0, seconds)),
-                           [&] { return in_force_->revision != revision; });
+                           [&] { return running_config_->revision != revision; });
 }
 
-std::optional<std::string> Manager::document_at(std::uint64_t revision) const {
+std::optional<std::string> ConfigManager::document_at(std::uint64_t revision) const {
   std::lock_guard held(held_);
   auto it = revisions_.find(revision);
   return it == revisions_.end() ? std::nullopt : std::optional(it->second.document);
 }
 
-std::vector<Revision> Manager::history() const {
+std::vector<Revision> ConfigManager::history() const {
   std::lock_guard held(held_);
   std::vector<Revision> out;
   for (const auto &[number, revision] : revisions_)
@@ -275,12 +281,12 @@
   return out;
 }
 
-std::string Manager::state_json() {
+std::string ConfigManager::state_json() {
   std::lock_guard lock(state_mutex_);
-  auto running = in_force();
+  auto running = running_config();
   if (now() - state_at_ < running->terms.snapshot_every && !state_.empty()) return state_;
-  FrontPort *front = front_;
-  if (!front) throw Ending();
+  FrontControl *front = front_;
+  if (!front) throw FrontStopping();
   Json state = json_of(front->state());
   state["build"]["version"] = version_;
   state["configuration"]["revision"] = std::to_string(running->revision);
@@ -302,7 +308,7 @@
   return state_;
 }
 
-std::string Manager::history_json() const {
+std::string ConfigManager::history_json() const {
   Json all = Json::array();
   for (const Revision &r : history())
     all.push_back({{"revision", std::to_string(r.number)},
@@ -315,10 +321,10 @@
   return state.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void Manager::note_stream(int more) { streams_ += more; }
-void Manager::note_cut() { ++cut_; }
+void ConfigManager::add_streams(int more) { streams_ += more; }
+void ConfigManager::count_cancelled_stream() { ++cut_; }
 
-void Manager::note_position(const std::string &subscriber, std::uint64_t revision, bool durable) {
+void ConfigManager::record_position(const std::string &subscriber, std::uint64_t revision, bool durable) {
   {
     std::lock_guard held(held_);
     positions_[subscriber] = revision;
--- a/src/management/manager.h
+++ b/src/management/manager.h
@@ -17,19 +17,19 @@
 
 namespace snowshore::management {
 
-struct Ending : std::runtime_error { // the front ends and takes no more calls
-  Ending() : std::runtime_error("the front is ending") {}
+struct FrontStopping : std::runtime_error { // the front ends and takes no more calls
+  FrontStopping() : std::runtime_error("the front is ending") {}
 };
 
-class FrontPort { // the running front; calls are carried out on its executor, and wait. May throw Ending.
+class FrontControl { // the running front; calls are carried out on its executor, and wait. May throw Ending.
  public:
-  virtual ~FrontPort() = default;
-  virtual std::optional<std::string> refusal_of(const site::FrontRecord &next, bool drained) = 0;
-  virtual std::optional<std::string> change(const site::FrontRecord &next, bool drained) = 0;
+  virtual ~FrontControl() = default;
+  virtual std::optional<std::string> check_config(const site::FrontRecord &next, bool drained) = 0;
+  virtual std::optional<std::string> apply_config(const site::FrontRecord &next, bool drained) = 0;
   virtual site::FrontState state() = 0;
 };
 
-struct InForce { // a copy for readers, never changed
+struct RunningConfig { // a copy for readers, never changed
   std::uint64_t revision = 0;
   std::string document;
   site::ManagementTerms terms;
@@ -37,33 +37,33 @@
   std::string commit_id;       // of one that awaits its confirmation
 };
 
-class Manager final : Running {
+class ConfigManager final : ConfigTarget {
  public:
-  Manager(const model::Model &model, store::Store &store, std::size_t history, std::string version);
+  ConfigManager(const model::Model &model, store::Store &store, std::size_t history, std::string version);
 
   // Before the front runs: reads the history back and returns the record that is in force. from_files becomes
   // a revision when the files say something else than when they were last read. Throws StoreError, Fault,
   // RecordError, and std::runtime_error for a history whose last revision cannot run.
   site::FrontRecord start(const site::FrontRecord &from_files);
   // From now on sets reach it; nullptr: it has ended. The port must outlive the manager's calls.
-  void attach(FrontPort *front);
+  void attach(FrontControl *front);
 
   struct Request {
     std::vector<model::Edit> edits;
     std::string user, cause;
-    std::optional<std::uint64_t> read_at;
+    std::optional<std::uint64_t> expected_revision;
     double confirm_within = 0;
     std::string commit_id = {};
   };
-  Answer set(const Request &request);
-  Answer confirm(std::uint64_t revision, const std::string &user);
-  Answer cancel(std::uint64_t revision, const std::string &user);
-  Answer roll_back(std::uint64_t revision, const std::string &user);
+  ChangeResult set(const Request &request);
+  ChangeResult confirm(std::uint64_t revision, const std::string &user);
+  ChangeResult cancel(std::uint64_t revision, const std::string &user);
+  ChangeResult roll_back(std::uint64_t revision, const std::string &user);
   // The record's files as they are now, whole, in place of what is in force.
-  Answer take_files(const site::FrontRecord &from_files, const std::string &user);
-  std::optional<double> tick(); // undoes what is due; seconds until the next undoing
+  ChangeResult apply_files(const site::FrontRecord &from_files, const std::string &user);
+  std::optional<double> roll_back_expired(); // undoes what is due; seconds until the next undoing
 
-  std::shared_ptr<const InForce> in_force() const;
+  std::shared_ptr<const RunningConfig> running_config() const;
   // Waits until another revision than this is in force, at most so long; false: none came.
   bool wait_for_change(std::uint64_t revision, double seconds) const;
   std::string state_json();         // of the model's /state, no older than snapshot_every. May throw Ending.
@@ -72,15 +72,15 @@
   std::vector<Revision> history() const; // without documents
   double now() const;                    // epoch seconds that never step back, not even over a restart
 
-  void note_stream(int more); // subscriptions begun and ended
-  void note_cut();
-  std::size_t streams() const { return static_cast<std::size_t>(streams_.load()); }
+  void add_streams(int more); // subscriptions begun and ended
+  void count_cancelled_stream();
+  std::size_t active_streams() const { return static_cast<std::size_t>(streams_.load()); }
   // Where a named subscriber has got to; durable where the store is not in use at the moment.
-  void note_position(const std::string &subscriber, std::uint64_t revision, bool durable);
+  void record_position(const std::string &subscriber, std::uint64_t revision, bool durable);
   const model::Model &model() const { return model_; }
 
  private:
-  std::optional<No> refuse(const std::string &document) override;
+  std::optional<Rejection> check(const std::string &document) override;
   std::optional<std::string> apply(const std::string &document) override;
   struct Checked { // a document that was read, so that one set reads it once
     std::string document;
@@ -89,7 +89,7 @@
     std::optional<std::string> fixed; // a path that only a new start can change
   };
   const Checked &checked(const std::string &document);
-  template <class F> Answer one_at_a_time(F call);
+  template <class F> ChangeResult run_change(F call);
   void publish();
 
   const model::Model &model_;
@@ -97,7 +97,7 @@
   const std::string version_;
   std::mutex sets_; // held over a whole set
   Transactions transactions_;
-  std::atomic<FrontPort *> front_{nullptr};
+  std::atomic<FrontControl *> front_{nullptr};
   std::string running_; // the document that the front has; empty: none yet
   std::optional<Checked> checked_;
   bool lost_track_ = false;
@@ -105,7 +105,7 @@
   std::atomic<std::uint64_t> taken_{0}, refused_{0}, cut_{0};
   mutable std::mutex held_; // the copies below
   mutable std::condition_variable changed_;
-  std::shared_ptr<const InForce> in_force_;
+  std::shared_ptr<const RunningConfig> running_config_;
   std::map<std::uint64_t, Revision> revisions_;
   std::map<std::string, std::uint64_t> positions_;
   std::mutex state_mutex_;
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -39,27 +39,27 @@
   return {StatusCode::INVALID_ARGUMENT, error.what()};
 }
 
-Status status_of(const Answer &answer) {
-  switch (answer.refusal) {
-  case Refusal::none:
+Status status_of(const ChangeResult &answer) {
+  switch (answer.error) {
+  case ChangeError::none:
     return Status::OK;
-  case Refusal::invalid:
-    return {StatusCode::INVALID_ARGUMENT, answer.why};
-  case Refusal::not_now:
-  case Refusal::unconfirmed:
-  case Refusal::not_applied:
-    return {StatusCode::FAILED_PRECONDITION, answer.why};
-  case Refusal::stale:
-    return {StatusCode::ABORTED, answer.why};
-  case Refusal::unknown_revision:
-    return {StatusCode::NOT_FOUND, answer.why};
-  case Refusal::overloaded:
-    return {StatusCode::RESOURCE_EXHAUSTED, answer.why};
-  case Refusal::not_stored:
-  case Refusal::ending:
-    return {StatusCode::UNAVAILABLE, answer.why};
+  case ChangeError::invalid:
+    return {StatusCode::INVALID_ARGUMENT, answer.message};
+  case ChangeError::conflict:
+  case ChangeError::unconfirmed_change:
+  case ChangeError::apply_failed:
+    return {StatusCode::FAILED_PRECONDITION, answer.message};
+  case ChangeError::stale_revision:
+    return {StatusCode::ABORTED, answer.message};
+  case ChangeError::unknown_revision:
+    return {StatusCode::NOT_FOUND, answer.message};
+  case ChangeError::too_many_pending:
+    return {StatusCode::RESOURCE_EXHAUSTED, answer.message};
+  case ChangeError::storage_failed:
+  case ChangeError::front_stopping:
+    return {StatusCode::UNAVAILABLE, answer.message};
   }
-  return {StatusCode::INTERNAL, answer.why};
+  return {StatusCode::INTERNAL, answer.message};
 }
 
 double seconds_of(const google::protobuf::Duration &d) {
@@ -78,9 +78,9 @@
 // The trees that a call reads: the configuration of one revision and the state of about now.
 class View {
  public:
-  explicit View(Manager &manager) : manager_(manager) {}
+  explicit View(ConfigManager &manager) : manager_(manager) {}
   void take_configuration() {
-    auto held = manager_.in_force();
+    auto held = manager_.running_config();
     if (held == held_) return;
     held_ = held;
     configuration_ = manager_.model().parse(held->document);
@@ -96,7 +96,7 @@
   std::vector<PathValue> subtrees(const Path &path) const {
     return gather(path, [&](const DataTree &tree) { return manager_.model().subtrees(tree, path); });
   }
-  const InForce &held() const { return *held_; }
+  const RunningConfig &held() const { return *held_; }
 
  private:
   template <class F> std::vector<PathValue> gather(const Path &path, F from) const {
@@ -106,8 +106,8 @@
     for (PathValue &leaf : from(state_)) out.push_back(std::move(leaf));
     return out;
   }
-  Manager &manager_;
-  std::shared_ptr<const InForce> held_;
+  ConfigManager &manager_;
+  std::shared_ptr<const RunningConfig> held_;
   DataTree configuration_, state_;
   bool has_state_ = false;
 };
@@ -115,7 +115,7 @@
 std::shared_ptr<grpc::ServerCredentials> credentials(const site::ManagementTerms &terms) {
   if (terms.plaintext) return grpc::InsecureServerCredentials();
   for (const std::string *name : {&terms.certificate, &terms.key, &terms.client_authority})
-    certificate_text(*name);
+    read_pem_file(*name);
   // Read again when they change; streams under way go on with what they began with.
   auto files = std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(
       terms.key, terms.certificate, terms.client_authority, kReloadCertificates);
@@ -130,7 +130,7 @@
 
 class Service::Gnmi final : public gnmi::gNMI::Service {
  public:
-  Gnmi(Manager &manager, const site::ManagementTerms &terms)
+  Gnmi(ConfigManager &manager, const site::ManagementTerms &terms)
       : manager_(manager), plaintext_(terms.plaintext) {
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota;
@@ -156,7 +156,7 @@
 
   Status Capabilities(grpc::ServerContext *context, const gnmi::CapabilityRequest *,
                       gnmi::CapabilityResponse *response) override {
-    if (Status refused = allow(*context, Right::read); !refused.ok()) return refused;
+    if (Status refused = allow(*context, Permission::read); !refused.ok()) return refused;
     auto *one = response->add_supported_models();
     one->set_name(model::Model::kModuleName);
     one->set_organization(model::Model::kModuleOrganization);
@@ -169,18 +169,19 @@
 
   Status Get(grpc::ServerContext *context, const gnmi::GetRequest *request,
              gnmi::GetResponse *response) override {
-    if (Status refused = allow(*context, Right::read); !refused.ok()) return refused;
-    if (!served(request->encoding())) return {StatusCode::UNIMPLEMENTED, "encodings served: JSON, JSON_IETF"};
+    if (Status refused = allow(*context, Permission::read); !refused.ok()) return refused;
+    if (!is_supported(request->encoding()))
+      return {StatusCode::UNIMPLEMENTED, "encodings served: JSON, JSON_IETF"};
     try {
       std::vector<Path> paths;
-      for (const gnmi::Path &path : request->path()) paths.push_back(read_path(request->prefix(), path));
-      if (paths.empty()) paths.push_back(read_path(request->prefix(), {}));
+      for (const gnmi::Path &path : request->path()) paths.push_back(decode_path(request->prefix(), path));
+      if (paths.empty()) paths.push_back(decode_path(request->prefix(), {}));
       bool configuration =
           request->type() == gnmi::GetRequest::ALL || request->type() == gnmi::GetRequest::CONFIG;
       bool state = request->type() != gnmi::GetRequest::CONFIG;
       auto any = [&](auto test) { return std::ranges::any_of(paths, test); };
       View view(manager_);
-      std::uint64_t revision = manager_.in_force()->revision;
+      std::uint64_t revision = manager_.running_config()->revision;
       if (configuration) {
         view.take_configuration();
         revision = view.held().revision;
@@ -194,8 +195,8 @@
         notification->set_timestamp(static_cast<std::int64_t>(manager_.now() * 1e9));
         for (const PathValue &leaf : view.subtrees(path)) {
           gnmi::Update *update = notification->add_update();
-          write_path(leaf.path, *update->mutable_path());
-          write_value(leaf.value, *update->mutable_val());
+          encode_path(leaf.path, *update->mutable_path());
+          encode_value(leaf.value, *update->mutable_val());
           if ((bytes += update->ByteSizeLong()) > kLongestAnswer)
             return {StatusCode::RESOURCE_EXHAUSTED,
                     model::path_to_text(path) + ": an answer of more than 64 MB; subscribe ONCE instead"};
@@ -203,26 +204,26 @@
         if (notification->update_size() == 0 && !model::has_wildcard(path) && !path.empty())
           return {StatusCode::NOT_FOUND, model::path_to_text(path) + ": not there"};
       }
-      write_more({{"revision", revision}}, *response->mutable_extension());
+      encode_extension({{"revision", revision}}, *response->mutable_extension());
       return Status::OK;
     } catch (const ModelError &error) {
       return status_of(error, false);
-    } catch (const Ending &ending) {
+    } catch (const FrontStopping &ending) {
       return {StatusCode::UNAVAILABLE, ending.what()};
     }
   }
 
   Status Set(grpc::ServerContext *context, const gnmi::SetRequest *request,
              gnmi::SetResponse *response) override {
-    Client client;
-    if (Status refused = allow(*context, Right::set, &client); !refused.ok()) return refused;
-    Answer answer;
+    ClientIdentity client;
+    if (Status refused = allow(*context, Permission::set, &client); !refused.ok()) return refused;
+    ChangeResult answer;
     try {
-      Manager::Request set;
-      set.edits = read_edits(*request);
+      ConfigManager::Request set;
+      set.edits = decode_edits(*request);
       set.user = client.name();
-      Json more = read_more(request->extension());
-      set.read_at = whole(more, "revision");
+      Json more = decode_extension(request->extension());
+      set.expected_revision = optional_uint64(more, "revision");
       set.cause = more.value("cause", std::string("gNMI Set"));
       const gnmi_ext::Commit *commit = nullptr;
       for (const gnmi_ext::Extension &one : request->extension()) {
@@ -230,7 +231,7 @@
         if (one.has_master_arbitration())
           return {StatusCode::UNIMPLEMENTED, "master arbitration is not served"};
       }
-      auto back = whole(more, "roll_back");
+      auto back = optional_uint64(more, "roll_back");
       if (commit && commit->has_confirm()) {
         answer = manager_.confirm(pending(commit->id()), client.name());
       } else if (commit && commit->has_cancel()) {
@@ -255,7 +256,7 @@
     } catch (const Json::exception &error) {
       return {StatusCode::INVALID_ARGUMENT, std::string("extension: ") + error.what()};
     }
-    if (answer.refusal != Refusal::none) return status_of(answer);
+    if (answer.error != ChangeError::none) return status_of(answer);
     auto result = [&](const gnmi::Path &path, gnmi::UpdateResult::Operation op) {
       gnmi::UpdateResult *one = response->add_response();
       *one->mutable_path() = path;
@@ -266,19 +267,20 @@
     for (const gnmi::Update &update : request->replace()) result(update.path(), gnmi::UpdateResult::REPLACE);
     for (const gnmi::Update &update : request->update()) result(update.path(), gnmi::UpdateResult::UPDATE);
     response->set_timestamp(static_cast<std::int64_t>(manager_.now() * 1e9));
-    write_more({{"revision", answer.revision}}, *response->mutable_extension());
+    encode_extension({{"revision", answer.revision}}, *response->mutable_extension());
     return Status::OK;
   }
 
   Status
   Subscribe(grpc::ServerContext *context,
             grpc::ServerReaderWriter<gnmi::SubscribeResponse, gnmi::SubscribeRequest> *stream) override {
-    Client client;
-    if (Status refused = allow(*context, Right::read, &client); !refused.ok()) return refused;
+    ClientIdentity client;
+    if (Status refused = allow(*context, Permission::read, &client); !refused.ok()) return refused;
     Active active(*this, *context, client);
-    if (manager_.streams() > manager_.in_force()->terms.streams)
-      return {StatusCode::RESOURCE_EXHAUSTED,
-              "no more streams than " + std::to_string(manager_.in_force()->terms.streams) + " at a time"};
+    if (manager_.active_streams() > manager_.running_config()->terms.streams)
+      return {StatusCode::RESOURCE_EXHAUSTED, "no more streams than " +
+                                                  std::to_string(manager_.running_config()->terms.streams) +
+                                                  " at a time"};
     gnmi::SubscribeRequest request;
     if (!stream->Read(&request) || !request.has_subscribe())
       return {StatusCode::INVALID_ARGUMENT, "a subscription is due first"};
@@ -287,7 +289,7 @@
       ended = follow(*context, *stream, active, request);
     } catch (const ModelError &error) {
       ended = status_of(error, false);
-    } catch (const Ending &ending) {
+    } catch (const FrontStopping &ending) {
       ended = {StatusCode::UNAVAILABLE, ending.what()};
     }
     if (active.cut.load() == Active::Cut::behind)
@@ -305,35 +307,35 @@
   // A subscription under way, for the keeper to cut.
   struct Active {
     enum class Cut { none, behind, expired, unwelcome };
-    Active(Gnmi &owner, grpc::ServerContext &context, const Client &who)
+    Active(Gnmi &owner, grpc::ServerContext &context, const ClientIdentity &who)
         : gnmi(owner), call(context), client(who) {
-      gnmi.manager_.note_stream(1);
+      gnmi.manager_.add_streams(1);
       std::lock_guard lock(gnmi.active_mutex_);
       place = gnmi.active_.insert(gnmi.active_.end(), this);
     }
     ~Active() {
       std::lock_guard lock(gnmi.active_mutex_);
       gnmi.active_.erase(place);
-      gnmi.manager_.note_stream(-1);
+      gnmi.manager_.add_streams(-1);
     }
     Gnmi &gnmi;
     grpc::ServerContext &call;
-    const Client client;
+    const ClientIdentity client;
     std::atomic<double> writing_since{0}; // 0: not writing
     std::atomic<Cut> cut{Cut::none};
     std::list<Active *>::iterator place;
   };
 
-  Status allow(const grpc::ServerContext &context, Right right, Client *who = nullptr) {
-    Client client = client_of(context, plaintext_);
+  Status allow(const grpc::ServerContext &context, Permission right, ClientIdentity *who = nullptr) {
+    ClientIdentity client = identify_client(context, plaintext_);
     Status status = Status::OK;
     if (!plaintext_ && client.names.empty()) {
       status = {StatusCode::UNAUTHENTICATED, "a client certificate with a name is due"};
     } else if (client.expires_at > 0 && wall() >= client.expires_at) {
       status = {StatusCode::UNAUTHENTICATED, "the client's certificate has expired"};
-    } else if (!may(client, right, manager_.in_force()->terms)) {
+    } else if (!is_allowed(client, right, manager_.running_config()->terms)) {
       status = {StatusCode::PERMISSION_DENIED,
-                client.name() + " may not " + (right == Right::set ? "set" : "read")};
+                client.name() + " may not " + (right == Permission::set ? "set" : "read")};
     }
     if (who) *who = std::move(client);
     return status;
@@ -344,7 +346,7 @@
   }
 
   std::uint64_t pending(const std::string &commit_id) const {
-    auto held = manager_.in_force();
+    auto held = manager_.running_config();
     return held->confirm_deadline > 0 && held->commit_id == commit_id ? held->revision : 0;
   }
 
@@ -353,8 +355,8 @@
   void keep(const std::stop_token &stop) {
     while (!stop.stop_requested()) {
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
-      manager_.tick();
-      auto running = manager_.in_force();
+      manager_.roll_back_expired();
+      auto running = manager_.running_config();
       double behind = running->terms.behind_time;
       std::lock_guard lock(active_mutex_);
       for (Active *one : active_) {
@@ -362,9 +364,9 @@
         double since = one->writing_since;
         if (since > 0 && manager_.now() - since > behind) one->cut = Active::Cut::behind;
         if (one->client.expires_at > 0 && wall() >= one->client.expires_at) one->cut = Active::Cut::expired;
-        if (!may(one->client, Right::read, running->terms)) one->cut = Active::Cut::unwelcome;
+        if (!is_allowed(one->client, Permission::read, running->terms)) one->cut = Active::Cut::unwelcome;
         if (one->cut.load() == Active::Cut::none) continue;
-        manager_.note_cut();
+        manager_.count_cancelled_stream();
         one->call.TryCancel();
       }
     }
@@ -378,7 +380,7 @@
   }
 
   // A batch in messages of a bounded size; the last says which revision it completes.
-  bool write(Stream &stream, Active &active, Follower::Batch batch, const Json &more,
+  bool write(Stream &stream, Active &active, SubscriptionTracker::Batch batch, const Json &more,
              const std::map<std::string, std::uint32_t> &duplicates) {
     std::size_t update = 0, gone = 0;
     while (update < batch.updates.size() || gone < batch.deletes.size()) {
@@ -387,17 +389,17 @@
       notification.set_timestamp(static_cast<std::int64_t>(manager_.now() * 1e9));
       std::size_t left = kUpdatesAMessage;
       for (; gone < batch.deletes.size() && left > 0; ++gone, --left)
-        write_path(batch.deletes[gone], *notification.add_delete_());
+        encode_path(batch.deletes[gone], *notification.add_delete_());
       for (; update < batch.updates.size() && left > 0; ++update, --left) {
         gnmi::Update *one = notification.add_update();
-        write_path(batch.updates[update].path, *one->mutable_path());
-        write_value(batch.updates[update].value, *one->mutable_val());
+        encode_path(batch.updates[update].path, *one->mutable_path());
+        encode_value(batch.updates[update].value, *one->mutable_val());
         if (auto it = duplicates.find(model::path_to_text(batch.updates[update].path));
             it != duplicates.end())
           one->set_duplicates(it->second);
       }
       if (update == batch.updates.size() && gone == batch.deletes.size())
-        write_more(more, *response.mutable_extension());
+        encode_extension(more, *response.mutable_extension());
       if (!write(stream, active, response)) return false;
     }
     return true;
@@ -421,7 +423,7 @@
 
   static Subscription read_subscription(const gnmi::SubscriptionList &list, const gnmi::Subscription &one) {
     Subscription out;
-    out.path = read_path(list.prefix(), one.path());
+    out.path = decode_path(list.prefix(), one.path());
     bool state = !out.path.empty() && out.path[0].name == "state";
     bool sample = one.mode() == gnmi::SAMPLE || (one.mode() == gnmi::TARGET_DEFINED && state);
     out.mode = sample ? Subscription::Mode::sample : Subscription::Mode::on_change;
@@ -436,7 +438,8 @@
   Status follow(grpc::ServerContext &context, Stream &stream, Active &active,
                 const gnmi::SubscribeRequest &request) {
     const gnmi::SubscriptionList &list = request.subscribe();
-    if (!served(list.encoding())) return {StatusCode::UNIMPLEMENTED, "encodings served: JSON, JSON_IETF"};
+    if (!is_supported(list.encoding()))
+      return {StatusCode::UNIMPLEMENTED, "encodings served: JSON, JSON_IETF"};
     std::vector<Subscription> subscriptions;
     bool history = false;
     for (const gnmi::Subscription &one : list.subscription()) {
@@ -445,8 +448,8 @@
       history = history || reaches_history(subscriptions.back().path);
     }
     if (subscriptions.empty()) return {StatusCode::INVALID_ARGUMENT, "a subscription to no path"};
-    Follower follower(subscriptions, manager_.now());
-    bool state = follower.watches("state");
+    SubscriptionTracker follower(subscriptions, manager_.now());
+    bool state = follower.covers_root("state");
     View view(manager_);
     auto look = [&](bool with_state) {
       view.take_configuration();
@@ -455,17 +458,17 @@
     auto values = [&](const Path &path) { return view.leaves(path); };
     look(state);
 
-    Json more = read_more(request.extension());
+    Json more = decode_extension(request.extension());
     std::string name = more.value("name", std::string());
-    auto from = whole(more, "resume");
+    auto from = optional_uint64(more, "resume");
     bool resumed = false;
     if (auto document = from ? manager_.document_at(*from) : std::nullopt) {
       DataTree before = manager_.model().parse(*document);
-      follower.has(manager_.model().leaves(before, {}));
+      follower.mark_sent(manager_.model().leaves(before, {}));
       resumed = true;
     }
     if (list.updates_only()) {
-      for (const Subscription &one : subscriptions) follower.has(view.leaves(one.path));
+      for (const Subscription &one : subscriptions) follower.mark_sent(view.leaves(one.path));
     }
 
     bool streams = list.mode() == gnmi::SubscriptionList::STREAM;
@@ -476,7 +479,7 @@
       std::uint64_t revision = view.held().revision;
       Json says{{"revision", revision}};
       if (first) says["resumed"] = resumed;
-      Follower::Batch batch = follower.due(manager_.now(), values);
+      SubscriptionTracker::Batch batch = follower.collect_due(manager_.now(), values);
       if (!batch.empty()) {
         auto duplicates = coalesced(told_at, revision);
         told_at = revision;
@@ -486,18 +489,18 @@
       if (first || !streams) {
         gnmi::SubscribeResponse synced;
         synced.set_sync_response(true);
-        write_more(says, *synced.mutable_extension());
+        encode_extension(says, *synced.mutable_extension());
         if (!write(stream, active, synced)) break;
       }
       at = revision;
-      if (!name.empty() && at != noted) manager_.note_position(name, noted = at, first);
+      if (!name.empty() && at != noted) manager_.record_position(name, noted = at, first);
       if (list.mode() == gnmi::SubscriptionList::ONCE) return Status::OK;
       if (list.mode() == gnmi::SubscriptionList::POLL) {
         gnmi::SubscribeRequest poll;
         if (!stream.Read(&poll)) break;
         if (!poll.has_poll())
           return {StatusCode::INVALID_ARGUMENT, "only polls are due after the subscription"};
-        follower = Follower(subscriptions, manager_.now()); // a poll asks for all values
+        follower = SubscriptionTracker(subscriptions, manager_.now()); // a poll asks for all values
         look(state);
         continue;
       }
@@ -511,11 +514,11 @@
       if (look_at_state) next_state = manager_.now() + kStatePoll;
       look(look_at_state);
     }
-    if (!name.empty() && at != 0) manager_.note_position(name, at, true);
+    if (!name.empty() && at != 0) manager_.record_position(name, at, true);
     return {StatusCode::CANCELLED, "the subscriber is gone"};
   }
 
-  Manager &manager_;
+  ConfigManager &manager_;
   const bool plaintext_;
   int port_ = 0;
   std::unique_ptr<grpc::Server> server_;
@@ -524,7 +527,7 @@
   std::jthread keeper_;
 };
 
-Service::Service(Manager &manager, const site::ManagementTerms &terms)
+Service::Service(ConfigManager &manager, const site::ManagementTerms &terms)
     : gnmi_(std::make_unique<Gnmi>(manager, terms)) {}
 Service::~Service() = default;
 int Service::port() const { return gnmi_->port(); }
--- a/src/management/transaction.h
+++ b/src/management/transaction.h
@@ -32,77 +32,79 @@
 
 // invalid: never right; not_now: right, and in the way of what is in hand; not_applied: tried and taken back.
 // overloaded, not_stored and ending come from the manager around it.
-enum class Refusal {
+enum class ChangeError {
   none,
   invalid,
-  not_now,
-  stale,
-  unconfirmed,
-  not_applied,
+  conflict,
+  stale_revision,
+  unconfirmed_change,
+  apply_failed,
   unknown_revision,
-  overloaded,
-  not_stored,
-  ending
+  too_many_pending,
+  storage_failed,
+  front_stopping
 };
-const char *name_of(Refusal refusal);
+const char *name_of(ChangeError error);
 
-struct No {
-  Refusal refusal = Refusal::invalid;
-  std::string why;
+struct Rejection {
+  ChangeError error = ChangeError::invalid;
+  std::string message;
 };
 
-class Running { // the front: takes a configuration whole, or refuses it and goes on with the one it has
+class ConfigTarget { // the front: takes a configuration whole, or refuses it and goes on with the one it has
  public:
-  virtual ~Running() = default;
-  virtual std::optional<No> refuse(const std::string &document) = 0; // why it would not run; none: it would
+  virtual ~ConfigTarget() = default;
+  virtual std::optional<Rejection>
+  check(const std::string &document) = 0; // why it would not run; none: it would
   virtual std::optional<std::string> apply(const std::string &document) = 0; // why it was not taken
 };
 
-struct Answer {
-  Refusal refusal = Refusal::none;
-  std::string why;
+struct ChangeResult {
+  ChangeError error = ChangeError::none;
+  std::string message;
   std::uint64_t revision = 0; // in force after the call
 };
 
 class Transactions {
  public:
-  enum class State { empty, settled, awaiting_confirmation };
+  enum class State { empty, confirmed, awaiting_confirmation };
 
   // Keeps the newest so many revisions in hand, as the journal does.
-  Transactions(Journal &journal, Running &running, std::size_t kept = 1000)
+  Transactions(Journal &journal, ConfigTarget &running, std::size_t kept = 1000)
       : journal_(journal), running_(running), kept_(kept) {}
 
   // Reads the history and applies the revision that holds; an unconfirmed one whose time is over is undone.
   // With no history, first becomes revision 1.
-  Answer recover(const std::string &first, double now);
+  ChangeResult recover(const std::string &first, double now);
   struct Change {
     std::string document, user, cause;
-    std::optional<std::uint64_t> read_at; // the revision that the client had read; an older one is refused
-    double confirm_within = 0;            // 0: no confirmation is asked for
+    std::optional<std::uint64_t>
+        expected_revision;     // the revision that the client had read; an older one is refused
+    double confirm_within = 0; // 0: no confirmation is asked for
     std::string commit_id = {};
   };
-  Answer set(const Change &change, double now);
+  ChangeResult set(const Change &change, double now);
   // Undoes an unconfirmed change now, without waiting for its time.
-  Answer cancel(std::uint64_t revision, const std::string &user, double now);
-  Answer confirm(std::uint64_t revision, const std::string &user, double now);
-  Answer roll_back(std::uint64_t revision, const std::string &user, double now); // as a new revision
-  Answer tick(double now); // undoes what was not confirmed in time
+  ChangeResult cancel(std::uint64_t revision, const std::string &user, double now);
+  ChangeResult confirm(std::uint64_t revision, const std::string &user, double now);
+  ChangeResult roll_back(std::uint64_t revision, const std::string &user, double now); // as a new revision
+  ChangeResult roll_back_expired(double now); // undoes what was not confirmed in time
   std::optional<double> next_due() const;
 
   State state() const { return state_; }
-  const Revision &running() const { return history_.back(); }
+  const Revision &current() const { return history_.back(); }
   const std::vector<Revision> &history() const { return history_; }
   const Revision *find(std::uint64_t number) const; // none: never there, or no longer kept
 
  private:
-  Answer commit(Revision next);
-  Answer refused(Refusal refusal, std::string why) const;
+  ChangeResult commit(Revision next);
+  ChangeResult refused(ChangeError error, std::string why) const;
   void become(State next) { state_ = next; } // the one place where the state changes
   void settle();
 
   void keep(Revision revision);
   Journal &journal_;
-  Running &running_;
+  ConfigTarget &running_;
   std::size_t kept_;
   std::vector<Revision> history_; // in the order of their numbers, without a gap
   State state_ = State::empty;
--- a/src/management/wire.cpp
+++ b/src/management/wire.cpp
@@ -14,7 +14,7 @@
 constexpr int kDeepest = 32; // of a value's JSON; the model itself is no deeper than six
 }
 
-Path read_path(const gnmi::Path &prefix, const gnmi::Path &path) {
+Path decode_path(const gnmi::Path &prefix, const gnmi::Path &path) {
   Path out;
   for (const gnmi::Path *part : {&prefix, &path}) {
     if (!part->origin().empty() && part->origin() != "snowshore" && part->origin() != "rfc7951")
@@ -31,7 +31,7 @@
   return out;
 }
 
-void write_path(const Path &path, gnmi::Path &into) {
+void encode_path(const Path &path, gnmi::Path &into) {
   for (const model::PathElement &elem : path) {
     gnmi::PathElem *one = into.add_elem();
     one->set_name(elem.name);
@@ -39,7 +39,7 @@
   }
 }
 
-Json read_value(const gnmi::TypedValue &value, const Path &at) {
+Json decode_value(const gnmi::TypedValue &value, const Path &at) {
   auto parse = [&](const std::string &text) {
     Json::parser_callback_t bounded = [&](int depth, Json::parse_event_t, Json &) {
       if (depth > kDeepest)
@@ -73,7 +73,7 @@
     for (const gnmi::TypedValue &one : value.leaflist_val().element()) {
       if (one.value_case() == gnmi::TypedValue::kLeaflistVal)
         throw ModelError(ModelErrorKind::invalid_value, model::path_to_text(at), "a list within a leaf-list");
-      out.push_back(read_value(one, at));
+      out.push_back(decode_value(one, at));
     }
     return out;
   }
@@ -83,19 +83,19 @@
   }
 }
 
-void write_value(const Json &value, gnmi::TypedValue &into) {
+void encode_value(const Json &value, gnmi::TypedValue &into) {
   into.set_json_ietf_val(value.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
-std::vector<Edit> read_edits(const gnmi::SetRequest &request) {
+std::vector<Edit> decode_edits(const gnmi::SetRequest &request) {
   std::vector<Edit> edits; // in the order that gNMI sets: deletes, replaces, updates
   if (request.union_replace_size() > 0)
     throw ModelError(ModelErrorKind::invalid_value, "union_replace", "not served here");
   for (const gnmi::Path &path : request.delete_())
-    edits.push_back({Edit::Kind::remove, read_path(request.prefix(), path), {}});
+    edits.push_back({Edit::Kind::remove, decode_path(request.prefix(), path), {}});
   auto with_value = [&](const gnmi::Update &update, Edit::Kind kind) {
-    Path path = read_path(request.prefix(), update.path());
-    Json value = read_value(update.val(), path);
+    Path path = decode_path(request.prefix(), update.path());
+    Json value = decode_value(update.val(), path);
     edits.push_back({kind, std::move(path), std::move(value)});
   };
   for (const gnmi::Update &update : request.replace()) with_value(update, Edit::Kind::replace);
@@ -103,11 +103,11 @@
   return edits;
 }
 
-bool served(gnmi::Encoding encoding) {
+bool is_supported(gnmi::Encoding encoding) {
   return encoding == gnmi::Encoding::JSON || encoding == gnmi::Encoding::JSON_IETF;
 }
 
-Json read_more(const google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &extensions) {
+Json decode_extension(const google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &extensions) {
   for (const gnmi_ext::Extension &one : extensions) {
     if (one.has_registered_ext() && one.registered_ext().id() == gnmi_ext::EID_EXPERIMENTAL) {
       Json read = Json::parse(one.registered_ext().msg(), nullptr, false);
@@ -118,13 +118,13 @@
   return Json::object();
 }
 
-void write_more(const Json &more, google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &into) {
+void encode_extension(const Json &more, google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &into) {
   auto *one = into.Add()->mutable_registered_ext();
   one->set_id(gnmi_ext::EID_EXPERIMENTAL);
   one->set_msg(more.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
-std::optional<std::uint64_t> whole(const Json &more, const char *name) {
+std::optional<std::uint64_t> optional_uint64(const Json &more, const char *name) {
   auto it = more.find(name);
   if (it == more.end()) return std::nullopt;
   if (!it->is_number_unsigned())
--- a/src/management/wire.h
+++ b/src/management/wire.h
@@ -7,16 +7,16 @@
 
 namespace snowshore::management {
 
-model::Path read_path(const gnmi::Path &prefix, const gnmi::Path &path); // joined; origin checked
-void write_path(const model::Path &path, gnmi::Path &into);
-model::Json read_value(const gnmi::TypedValue &value, const model::Path &at);
-void write_value(const model::Json &value, gnmi::TypedValue &into); // as json_ietf
-std::vector<model::Edit> read_edits(const gnmi::SetRequest &request);
-bool served(gnmi::Encoding encoding); // JSON and JSON_IETF, both written as RFC 7951 has it
+model::Path decode_path(const gnmi::Path &prefix, const gnmi::Path &path); // joined; origin checked
+void encode_path(const model::Path &path, gnmi::Path &into);
+model::Json decode_value(const gnmi::TypedValue &value, const model::Path &at);
+void encode_value(const model::Json &value, gnmi::TypedValue &into); // as json_ietf
+std::vector<model::Edit> decode_edits(const gnmi::SetRequest &request);
+bool is_supported(gnmi::Encoding encoding); // JSON and JSON_IETF, both written as RFC 7951 has it
 
 // What goes beside gNMI's own fields, as a registered extension of JSON: revisions, resuming, roll-backs.
-model::Json read_more(const google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &extensions);
-void write_more(const model::Json &more, google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &into);
-std::optional<std::uint64_t> whole(const model::Json &more, const char *name);
+model::Json decode_extension(const google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &extensions);
+void encode_extension(const model::Json &more, google::protobuf::RepeatedPtrField<gnmi_ext::Extension> &into);
+std::optional<std::uint64_t> optional_uint64(const model::Json &more, const char *name);
 
 } // namespace snowshore::management
--- a/src/program/managed.cpp
+++ b/src/program/managed.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 using edge::Edge;
-using management::Manager;
+using management::ConfigManager;
 using site::FrontRecord;
 
 // Management's threads reach the front through its executor: a call is posted, its answer waited for. Once
-// shut, all calls end with Ending, also those that wait.
-class PortOnExecutor final : public management::FrontPort {
+// shut, all calls end with FrontStopping, also those that wait.
+class PortOnExecutor final : public management::FrontControl {
  public:
   PortOnExecutor(asio::io_context &io, Edge &edge) : io_(io), edge_(edge) {}
-  std::optional<std::string> refusal_of(const FrontRecord &next, bool drained) override {
+  std::optional<std::string> check_config(const FrontRecord &next, bool drained) override {
     return call<std::optional<std::string>>(
         [this, next, drained] { return edge_.refusal_of(next, drained); });
   }
-  std::optional<std::string> change(const FrontRecord &next, bool drained) override {
+  std::optional<std::string> apply_config(const FrontRecord &next, bool drained) override {
     return call<std::optional<std::string>>([this, next, drained] { return edge_.change(next, drained); });
   }
   site::FrontState state() override {
@@ -42,7 +42,7 @@
     };
     auto box = std::make_shared<Box>();
     std::unique_lock lock(mutex_);
-    if (shut_) throw management::Ending();
+    if (shut_) throw management::FrontStopping();
     asio::post(io_, [this, box, f = std::move(f)] {
       std::optional<R> result;
       std::exception_ptr error;
@@ -57,7 +57,7 @@
     });
     wake_.wait(lock, [&] { return shut_ || box->result || box->error; });
     if (box->error) std::rethrow_exception(box->error);
-    if (!box->result) throw management::Ending();
+    if (!box->result) throw management::FrontStopping();
     return std::move(*box->result);
   }
   asio::io_context &io_;
@@ -87,12 +87,12 @@
   void take_files(const FrontRecord &next) override {
     if (reading_.joinable()) reading_.join();
     reading_ = std::thread([this, next] {
-      management::Answer answer = manager_.take_files(next, "SIGHUP");
+      management::ChangeResult answer = manager_.apply_files(next, "SIGHUP");
       asio::post(*io_, [log = log_, answer] {
-        if (answer.refusal == management::Refusal::none)
+        if (answer.error == management::ChangeError::none)
           log->info("reloaded", {{"revision", answer.revision}});
         else
-          log->error("reload_refused", {{"cause", answer.why}}); // whole: what was in force stays so
+          log->error("reload_refused", {{"cause", answer.message}}); // whole: what was in force stays so
       });
     });
   }
@@ -109,7 +109,7 @@
   site::ManagementTerms terms_;
   model::Model model_;
   store::Store store_;
-  Manager manager_;
+  ConfigManager manager_;
   asio::io_context *io_ = nullptr;
   telemetry::Log *log_ = nullptr;
   std::unique_ptr<PortOnExecutor> port_;
--- a/tests/fuzz/fuzz_management.cpp
+++ b/tests/fuzz/fuzz_management.cpp
@@ -47,8 +47,8 @@
   gnmi::SetRequest request;
   if (!request.ParseFromArray(data, static_cast<int>(size))) return 0;
   try {
-    management::read_more(request.extension());
-    std::string next = world.model.edit(world.document, management::read_edits(request));
+    management::decode_extension(request.extension());
+    std::string next = world.model.edit(world.document, management::decode_edits(request));
     if (world.model.validate(next) != next) std::abort();
     records::Source file{"(edited)", world.model.to_record_text(next)};
     site::read_front({&file, 1});
--- a/tests/management/rig.h
+++ b/tests/management/rig.h
@@ -6,19 +6,19 @@
 
 namespace snowshore::testing {
 
-struct FakeFront final : management::FrontPort { // called by management's threads
+struct FakeFront final : management::FrontControl { // called by management's threads
   std::mutex mutex;
   std::string refuses, fails; // why, for all that comes
   std::function<void()> before_check, before_change, after_change;
   std::size_t open_plays = 0; // of the record it runs with
   int changes = 0, drained = 0;
   site::FrontState now;
-  std::optional<std::string> refusal_of(const site::FrontRecord &, bool) override {
+  std::optional<std::string> check_config(const site::FrontRecord &, bool) override {
     if (before_check) before_check();
     std::lock_guard lock(mutex);
     return refuses.empty() ? std::nullopt : std::optional(refuses);
   }
-  std::optional<std::string> change(const site::FrontRecord &next, bool with_drain) override {
+  std::optional<std::string> apply_config(const site::FrontRecord &next, bool with_drain) override {
     if (before_change) before_change();
     {
       std::lock_guard lock(mutex);
@@ -38,7 +38,7 @@
 struct Rig { // as the program puts it together
   FakeFront front;
   store::Store store;
-  management::Manager manager;
+  management::ConfigManager manager;
   explicit Rig(const std::string &folder, const std::string &more = "", std::size_t history = 1000)
       : store(folder, history), manager(test_model(), store, history, "test") {
     auto record = manager.start(front_record(more));
@@ -46,7 +46,7 @@
     front.now.service = "serving", front.now.boot = "b";
     manager.attach(&front);
   }
-  management::Answer set(const char *path, model::Json value, double confirm_within = 0) {
+  management::ChangeResult set(const char *path, model::Json value, double confirm_within = 0) {
     return manager.set({{{model::Edit::Kind::update, model::parse_path(path), std::move(value)}},
                         "ana",
                         "test",
@@ -54,7 +54,7 @@
                         confirm_within,
                         "c"});
   }
-  std::string in_force() const { return manager.in_force()->document; }
+  std::string running_document() const { return manager.running_config()->document; }
 };
 
 } // namespace snowshore::testing
--- a/tests/management/test_manager.cpp
+++ b/tests/management/test_manager.cpp
@@ -12,7 +12,7 @@
 
 using namespace snowshore;
 using namespace snowshore::testing;
-using management::Refusal;
+using management::ChangeError;
 
 namespace {
 
@@ -93,7 +93,7 @@
   if (point == before_the_write) rig.front.before_check = die;
   if (point == after_the_write) rig.front.before_change = die;
   if (point == after_applying) rig.front.after_change = die;
-  bool taken = rig.set(kOpenPlays, 200, what.at(2) == "1" ? 0 : 60).refusal == Refusal::none;
+  bool taken = rig.set(kOpenPlays, 200, what.at(2) == "1" ? 0 : 60).error == ChangeError::none;
   if (point == before_the_answer) die();
   tell(taken ? "y" : "n");
   die();
@@ -103,16 +103,17 @@
   auto what = asked();
   Rig rig(what[0]);
   std::minstd_rand mine(static_cast<unsigned>(std::stoul(what.at(1))));
-  tell(rig.in_force());
+  tell(rig.running_document());
   for (int i = 0; i < std::stoi(what.at(2)); ++i) {
-    std::string before = rig.in_force();
+    std::string before = rig.running_document();
     bool valid = mine() % 3 != 0;
     if (mine() % 7 == 0) rig.front.fails = "not now";
     auto answer = rig.set(mine() % 2 ? kOpenPlays : "/front/limits/connections",
                           valid ? model::Json(1 + mine() % 5000) : model::Json("x"));
     rig.front.fails.clear();
-    if (answer.refusal != Refusal::none && rig.in_force() != before) tell("a refused change left its mark");
-    tell(answer.refusal == Refusal::none ? rig.in_force() : "refused");
+    if (answer.error != ChangeError::none && rig.running_document() != before)
+      tell("a refused change left its mark");
+    tell(answer.error == ChangeError::none ? rig.running_document() : "refused");
   }
 }
 
@@ -132,8 +133,8 @@
       std::string old_tree;
       {
         Rig rig(folder.name);
-        REQUIRE(rig.set(kOpenPlays, 100).refusal == Refusal::none);
-        old_tree = rig.in_force();
+        REQUIRE(rig.set(kOpenPlays, 100).error == ChangeError::none);
+        old_tree = rig.running_document();
       }
       std::string answer;
       bool answered = false;
@@ -147,13 +148,13 @@
       }
       CHECK(answered == (row.point == after_the_answer));
       Rig rig(folder.name);
-      std::string tree = rig.in_force();
+      std::string tree = rig.running_document();
       bool is_old = tree == old_tree, is_new = open_plays_in(tree) == 200;
       CHECK((is_old || is_new));
       CHECK((!is_old || row.may_be_old));
       CHECK((!is_new || row.may_be_new));
       CHECK(rig.front.open_plays == open_plays_in(tree)); // what runs is what is told
-      CHECK((rig.manager.in_force()->confirm_deadline > 0) == (is_new && !confirmed));
+      CHECK((rig.manager.running_config()->confirm_deadline > 0) == (is_new && !confirmed));
     }
   }
 }
@@ -198,27 +199,27 @@
   std::string before;
   {
     Rig rig(folder.name);
-    before = rig.in_force();
-    REQUIRE(rig.set(kOpenPlays, 100, 2).refusal == Refusal::none); // long enough for a machine under load
-    CHECK(rig.set(kOpenPlays, 300).refusal == Refusal::unconfirmed);
-    auto left = rig.manager.tick();
+    before = rig.running_document();
+    REQUIRE(rig.set(kOpenPlays, 100, 2).error == ChangeError::none); // long enough for a machine under load
+    CHECK(rig.set(kOpenPlays, 300).error == ChangeError::unconfirmed_change);
+    auto left = rig.manager.roll_back_expired();
     CHECK((left && *left > 0 && *left <= 2));
     std::this_thread::sleep_for(std::chrono::milliseconds(2050));
-    rig.manager.tick();
-    CHECK(rig.in_force() == before);
+    rig.manager.roll_back_expired();
+    CHECK(rig.running_document() == before);
     CHECK(rig.front.open_plays == 20000);
-    REQUIRE(rig.set(kOpenPlays, 100, 0.1).refusal == Refusal::none);
+    REQUIRE(rig.set(kOpenPlays, 100, 0.1).error == ChangeError::none);
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(150));
   {
     Rig rig(folder.name);
-    CHECK(rig.in_force() == before);
+    CHECK(rig.running_document() == before);
     CHECK(rig.front.open_plays == 20000);
-    REQUIRE(rig.set(kOpenPlays, 100, 60).refusal == Refusal::none);
-    auto answer = rig.manager.confirm(rig.manager.in_force()->revision, "ana");
-    CHECK(answer.refusal == Refusal::none);
-    REQUIRE(rig.set(kOpenPlays, 200, 60).refusal == Refusal::none);
-    CHECK(rig.manager.cancel(rig.manager.in_force()->revision, "ana").refusal == Refusal::none);
+    REQUIRE(rig.set(kOpenPlays, 100, 60).error == ChangeError::none);
+    auto answer = rig.manager.confirm(rig.manager.running_config()->revision, "ana");
+    CHECK(answer.error == ChangeError::none);
+    REQUIRE(rig.set(kOpenPlays, 200, 60).error == ChangeError::none);
+    CHECK(rig.manager.cancel(rig.manager.running_config()->revision, "ana").error == ChangeError::none);
     CHECK(rig.front.open_plays == 100);
   }
   {
@@ -229,48 +230,48 @@
   }
   Rig rig(folder.name);
   CHECK(rig.manager.now() >= rig.manager.history().back().committed_at); // never before what was written
-  CHECK(rig.manager.in_force()->confirm_deadline > 0);
+  CHECK(rig.manager.running_config()->confirm_deadline > 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(350));
-  rig.manager.tick();
-  CHECK(rig.in_force() == before); // and no later than its own time after the start
+  rig.manager.roll_back_expired();
+  CHECK(rig.running_document() == before); // and no later than its own time after the start
 }
 
 TEST_CASE("refusals, each by its kind; the tree stays, byte for byte") {
   Folder folder;
   Rig rig(folder.name, "management: sets_waiting: 4");
-  std::string before = rig.in_force();
+  std::string before = rig.running_document();
   struct Row {
     const char *path;
     model::Json value;
     std::string refuses, fails;
-    Refusal refusal;
+    ChangeError error;
   };
   for (const Row &row :
-       {Row{kOpenPlays, 0, "", "", Refusal::invalid}, Row{"/front/none", 0, "", "", Refusal::invalid},
-        Row{"/front/name", "other", "", "", Refusal::not_now},
-        Row{kOpenPlays, 5, "7 plays are in hand", "", Refusal::not_now},
-        Row{kOpenPlays, 5, "", "the port is taken", Refusal::not_applied},
-        Row{"/front/management/listen", "127.0.0.1:1", "", "", Refusal::invalid},
-        Row{"/front/products[name=film]/top", 7, "", "", Refusal::invalid}}) {
+       {Row{kOpenPlays, 0, "", "", ChangeError::invalid}, Row{"/front/none", 0, "", "", ChangeError::invalid},
+        Row{"/front/name", "other", "", "", ChangeError::conflict},
+        Row{kOpenPlays, 5, "7 plays are in hand", "", ChangeError::conflict},
+        Row{kOpenPlays, 5, "", "the port is taken", ChangeError::apply_failed},
+        Row{"/front/management/listen", "127.0.0.1:1", "", "", ChangeError::invalid},
+        Row{"/front/products[name=film]/top", 7, "", "", ChangeError::invalid}}) {
     CAPTURE(row.path);
     rig.front.refuses = row.refuses, rig.front.fails = row.fails;
     auto answer = rig.set(row.path, row.value);
-    CHECK(answer.refusal == row.refusal);
-    CHECK_FALSE(answer.why.empty());
-    CHECK(rig.in_force() == before);
+    CHECK(answer.error == row.error);
+    CHECK_FALSE(answer.message.empty());
+    CHECK(rig.running_document() == before);
     CHECK(rig.front.changes == 0);
   }
   rig.front.refuses = rig.front.fails = "";
-  management::Manager::Request stale{{}, "bo", "", rig.manager.in_force()->revision - 1, 0, ""};
-  CHECK(rig.manager.set(stale).refusal == Refusal::stale);
-  CHECK(rig.manager.roll_back(999, "bo").refusal == Refusal::unknown_revision);
-  CHECK(rig.manager.confirm(1, "bo").refusal == Refusal::unknown_revision);
-  CHECK(rig.set("/front/load/note_delay", "2").refusal == Refusal::none);
+  management::ConfigManager::Request stale{{}, "bo", "", rig.manager.running_config()->revision - 1, 0, ""};
+  CHECK(rig.manager.set(stale).error == ChangeError::stale_revision);
+  CHECK(rig.manager.roll_back(999, "bo").error == ChangeError::unknown_revision);
+  CHECK(rig.manager.confirm(1, "bo").error == ChangeError::unknown_revision);
+  CHECK(rig.set("/front/load/note_delay", "2").error == ChangeError::none);
   CHECK(rig.front.drained == 1);
-  std::uint64_t revision = rig.manager.in_force()->revision;
+  std::uint64_t revision = rig.manager.running_config()->revision;
   CHECK(rig.set("/front/load/note_delay", "2").revision == revision); // nothing changes, nothing is written
   rig.manager.attach(nullptr);
-  CHECK(rig.set(kOpenPlays, 5).refusal == Refusal::ending);
+  CHECK(rig.set(kOpenPlays, 5).error == ChangeError::front_stopping);
 }
 
 TEST_CASE("sets wait their turn in bounded number; reads wait for none of them") {
@@ -279,7 +280,7 @@
   std::promise<void> go_on;
   auto held = go_on.get_future().share();
   rig.front.before_change = [&] { held.wait(); };
-  std::vector<std::future<management::Answer>> sets;
+  std::vector<std::future<management::ChangeResult>> sets;
   for (int i = 0; i < 8; ++i)
     sets.push_back(std::async(std::launch::async, [&, i] { return rig.set(kOpenPlays, 1000 + i); }));
   int overloaded = 0;
@@ -289,19 +290,19 @@
       overloaded += set.wait_for(std::chrono::milliseconds(5)) == std::future_status::ready;
   }
   CHECK(overloaded == 5);
-  CHECK(open_plays_in(rig.in_force()) == 20000); // read while one is under way
+  CHECK(open_plays_in(rig.running_document()) == 20000); // read while one is under way
   CHECK_FALSE(rig.manager.state_json().empty());
   go_on.set_value();
   int taken = 0;
-  for (auto &set : sets) taken += set.get().refusal == Refusal::none;
+  for (auto &set : sets) taken += set.get().error == ChangeError::none;
   CHECK(taken == 3);
-  CHECK(rig.front.open_plays == open_plays_in(rig.in_force()));
+  CHECK(rig.front.open_plays == open_plays_in(rig.running_document()));
 }
 
 TEST_CASE("a full disk refuses sets, reads go on; with room again what is durable is in force") {
   Folder folder;
   Rig rig(folder.name);
-  REQUIRE(rig.set(kOpenPlays, 100).refusal == Refusal::none);
+  REQUIRE(rig.set(kOpenPlays, 100).error == ChangeError::none);
   signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
   getrlimit(RLIMIT_FSIZE, &before);
@@ -309,39 +310,39 @@
   tight.rlim_cur = 30000;
   setrlimit(RLIMIT_FSIZE, &tight);
   int taken = 0;
-  management::Answer answer;
-  for (int i = 0; i < 100 && answer.refusal == Refusal::none; ++i, ++taken)
+  management::ChangeResult answer;
+  for (int i = 0; i < 100 && answer.error == ChangeError::none; ++i, ++taken)
     answer = rig.set(kOpenPlays, 200 + i);
-  CHECK(answer.refusal == Refusal::not_stored);
-  CHECK(open_plays_in(rig.in_force()) == static_cast<std::size_t>(200 + taken - 2));
+  CHECK(answer.error == ChangeError::storage_failed);
+  CHECK(open_plays_in(rig.running_document()) == static_cast<std::size_t>(200 + taken - 2));
   CHECK_FALSE(rig.manager.state_json().empty());
   setrlimit(RLIMIT_FSIZE, &before);
-  CHECK(rig.set(kOpenPlays, 5000).refusal == Refusal::none);
+  CHECK(rig.set(kOpenPlays, 5000).error == ChangeError::none);
   CHECK(rig.front.open_plays == 5000);
-  CHECK(rig.store.read_revisions().back().document == rig.in_force());
+  CHECK(rig.store.read_revisions().back().document == rig.running_document());
 }
 
 TEST_CASE("the record's files: read again, and changed between two starts") {
   Folder folder;
   {
     Rig rig(folder.name);
-    REQUIRE(rig.set(kOpenPlays, 100).refusal == Refusal::none);
+    REQUIRE(rig.set(kOpenPlays, 100).error == ChangeError::none);
   }
   {
     Rig rig(folder.name); // the same files: what was set stays
     CHECK(rig.front.open_plays == 100);
-    REQUIRE(rig.set(kOpenPlays, 150, 60).refusal == Refusal::none);
+    REQUIRE(rig.set(kOpenPlays, 150, 60).error == ChangeError::none);
   }
   {
     Rig rig(folder.name,
             "name: \"edge-1\"\nlimits: connections: 77\nhall: \"north\""); // other files: they hold
     CHECK(rig.front.open_plays == 20000);
-    CHECK(rig.manager.in_force()->confirm_deadline == 0);
+    CHECK(rig.manager.running_config()->confirm_deadline == 0);
     CHECK(rig.manager.history().back().user == "files");
-    CHECK(rig.manager.take_files(front_record("limits: open_plays: 9"), "SIGHUP").refusal ==
-          Refusal::not_now);
-    CHECK(rig.manager.take_files(front_record("hall: \"north\"\nlimits: open_plays: 9"), "SIGHUP").refusal ==
-          Refusal::none);
+    CHECK(rig.manager.apply_files(front_record("limits: open_plays: 9"), "SIGHUP").error ==
+          ChangeError::conflict);
+    CHECK(rig.manager.apply_files(front_record("hall: \"north\"\nlimits: open_plays: 9"), "SIGHUP").error ==
+          ChangeError::none);
     CHECK(rig.front.open_plays == 9);
   }
   Rig rig(folder.name, "hall: \"north\"\nlimits: open_plays: 9");
--- a/tests/management/test_service.cpp
+++ b/tests/management/test_service.cpp
@@ -14,7 +14,7 @@
 
 using namespace snowshore;
 using namespace snowshore::testing;
-using management::Kind;
+using management::DataType;
 using management::ManagementClient;
 using management::SetOptions;
 using management::Target;
@@ -76,7 +76,7 @@
   Folder folder;
   Served front(folder.name);
   auto stub = front.stub();
-  std::string before = front.rig.in_force();
+  std::string before = front.rig.running_document();
   struct Row {
     std::string path, value;
     Code code;
@@ -95,7 +95,7 @@
     CAPTURE(row.path, row.value);
     gnmi::SetRequest request;
     gnmi::Update *one = request.add_update();
-    management::write_path(parse_path(row.path), *one->mutable_path());
+    management::encode_path(parse_path(row.path), *one->mutable_path());
     one->mutable_val()->set_json_ietf_val(row.value);
     grpc::ClientContext context;
     gnmi::SetResponse response;
@@ -103,7 +103,7 @@
     CHECK(status.error_code() == row.code);
     CHECK(status.error_message().find(row.names) != std::string::npos);
   }
-  CHECK(front.rig.in_force() == before);
+  CHECK(front.rig.running_document() == before);
   auto get = [&](const std::function<void(gnmi::GetRequest &)> &ask) {
     gnmi::GetRequest request;
     request.set_encoding(gnmi::JSON_IETF);
@@ -113,7 +113,7 @@
     return stub->Get(&context, request, &response).error_code();
   };
   auto path = [](const char *text) {
-    return [text](gnmi::GetRequest &r) { management::write_path(parse_path(text), *r.add_path()); };
+    return [text](gnmi::GetRequest &r) { management::encode_path(parse_path(text), *r.add_path()); };
   };
   CHECK(get(path("/front")) == Code::OK);
   CHECK(get(path("/")) == Code::OK);
@@ -136,10 +136,10 @@
   Served front(folder.name);
   ManagementClient ana(front.target()), bo(front.target());
   std::vector<model::PathValue> leaves;
-  auto read = ana.get({parse_path("/front/limits/open_plays")}, Kind::configuration, leaves);
+  auto read = ana.get({parse_path("/front/limits/open_plays")}, DataType::configuration, leaves);
   REQUIRE((read.ok() && leaves.size() == 1 && leaves[0].value == 20000));
   SetOptions at_read;
-  at_read.read_at = read.revision;
+  at_read.expected_revision = read.revision;
   REQUIRE(bo.set(update("/front/limits/open_plays", 5), at_read).ok());
   CHECK(ana.set(update("/front/limits/open_plays", 6), at_read).code == Code::ABORTED);
   SetOptions commit;
@@ -159,7 +159,7 @@
     return front.rig.front.open_plays == 7;
   }));
   SetOptions back;
-  back.roll_back = 1;
+  back.rollback_revision = 1;
   CHECK(bo.set({}, back).ok());
   CHECK(front.rig.front.open_plays == 20000);
 }
@@ -170,15 +170,15 @@
   many_servers(front.rig.front, 10000);
   ManagementClient client(front.target());
   std::vector<model::PathValue> leaves;
-  REQUIRE(client.get({parse_path("/state/servers[id=*]/*")}, Kind::state, leaves, 60).ok());
+  REQUIRE(client.get({parse_path("/state/servers[id=*]/*")}, DataType::state, leaves, 60).ok());
   CHECK(leaves.size() == 100000);
   auto stub = front.stub();
   grpc::ClientContext context;
   auto stream = stub->Subscribe(&context);
   gnmi::SubscribeRequest request;
   request.mutable_subscribe()->set_mode(gnmi::SubscriptionList::ONCE);
-  management::write_path(parse_path("/state/servers"),
-                         *request.mutable_subscribe()->add_subscription()->mutable_path());
+  management::encode_path(parse_path("/state/servers"),
+                          *request.mutable_subscribe()->add_subscription()->mutable_path());
   stream->Write(request);
   int updates = 0, synced = 0;
   for (gnmi::SubscribeResponse response; stream->Read(&response);) {
@@ -204,7 +204,7 @@
     auto *one = list.add_subscription();
     one->set_mode(gnmi::ON_CHANGE);
     one->set_heartbeat_interval(beat);
-    management::write_path(parse_path("/front/limits/open_plays"), *one->mutable_path());
+    management::encode_path(parse_path("/front/limits/open_plays"), *one->mutable_path());
     stream->Write(request);
     return stream;
   };
@@ -231,7 +231,7 @@
   auto stream = open(context, gnmi::SubscriptionList::STREAM, true, 300'000'000);
   CHECK(next(stream) == "synced");
   CHECK(next(stream) == "20000"); // the heartbeat
-  REQUIRE(front.rig.set("/front/limits/open_plays", 5).refusal == management::Refusal::none);
+  REQUIRE(front.rig.set("/front/limits/open_plays", 5).error == management::ChangeError::none);
   CHECK(next(stream) == "5");
   context.TryCancel();
   stream->Finish();
@@ -246,12 +246,12 @@
   auto stream = stub->Subscribe(&context);
   gnmi::SubscribeRequest request;
   auto *one = request.mutable_subscribe()->add_subscription();
-  management::write_path(parse_path("/"), *one->mutable_path());
+  management::encode_path(parse_path("/"), *one->mutable_path());
   one->set_mode(gnmi::ON_CHANGE);
   stream->Write(request);
   gnmi::SubscribeResponse response;
   REQUIRE(stream->Read(&response));
-  CHECK(until([&] { return front.rig.manager.streams() == 0; }, 10));
+  CHECK(until([&] { return front.rig.manager.active_streams() == 0; }, 10));
   while (stream->Read(&response)) {
   }
   CHECK_FALSE(stream->Finish().ok());
@@ -262,7 +262,7 @@
   auto again = stub->Subscribe(&slow);
   gnmi::SubscribeRequest sampled;
   auto *line = sampled.mutable_subscribe()->add_subscription();
-  management::write_path(parse_path("/front/limits/open_plays"), *line->mutable_path());
+  management::encode_path(parse_path("/front/limits/open_plays"), *line->mutable_path());
   line->set_mode(gnmi::SAMPLE);
   line->set_sample_interval(400'000'000);
   again->Write(sampled);
@@ -293,7 +293,7 @@
   Watch::Options options;
   options.paths = {parse_path("/front"), parse_path("/state/build/boot")};
   options.name = "noc";
-  options.longest_pause = 0.2;
+  options.max_backoff = 0.2;
   Watch watch(front->target(), options, [&](const std::string &path, const Json *value) {
     std::lock_guard lock(mutex);
     std::string text = value ? value->dump() : "(gone)";
@@ -303,7 +303,7 @@
   std::minstd_rand chance(3);
   double slowest = 0;
   auto agree = [&](const Served &served) {
-    auto tree = test_model().parse(served.rig.in_force());
+    auto tree = test_model().parse(served.rig.running_document());
     std::map<std::string, Json> mine;
     for (const auto &leaf : test_model().leaves(tree, {})) mine[model::path_to_text(leaf.path)] = leaf.value;
     auto view = watch.view();
@@ -327,11 +327,11 @@
         std::max(slowest, std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
     lost += !in_step;
   }
-  CAPTURE(slowest, watch.streams(), watch.resumed());
+  CAPTURE(slowest, watch.streams_started(), watch.streams_resumed());
   CHECK(lost == 0);
   CHECK(slowest < 2);
   CHECK(twice == 0);
-  CHECK(watch.resumed() >= 60); // the rest were cut before they were in step
+  CHECK(watch.streams_resumed() >= 60); // the rest were cut before they were in step
   CHECK(front->rig.manager.state_json().find("\"noc\"") != std::string::npos);
 }
 
@@ -365,7 +365,7 @@
     CAPTURE(row.target.certificate);
     ManagementClient client(row.target);
     std::vector<model::PathValue> leaves;
-    CHECK(client.get({parse_path("/front/name")}, Kind::all, leaves, 2).code == row.get);
+    CHECK(client.get({parse_path("/front/name")}, DataType::all, leaves, 2).code == row.get);
     CHECK(client.set(update("/front/limits/open_plays", 77), {}, 2).code == row.set);
   }
   CHECK(front.rig.manager.history().back().user == "ana");
@@ -380,8 +380,8 @@
                   {},
                   0,
                   ""})
-            .refusal == management::Refusal::none);
-  CHECK(until([&] { return front.rig.manager.streams() == 0 || bo.streams() > 1; }));
+            .error == management::ChangeError::none);
+  CHECK(until([&] { return front.rig.manager.active_streams() == 0 || bo.streams_started() > 1; }));
 
   authority.sign("short", 3); // its stream ends with it
   grpc::SslCredentialsOptions ssl;
@@ -402,8 +402,8 @@
   grpc::ClientContext context;
   auto stream = stub->Subscribe(&context);
   gnmi::SubscribeRequest request;
-  management::write_path(parse_path("/front/limits"),
-                         *request.mutable_subscribe()->add_subscription()->mutable_path());
+  management::encode_path(parse_path("/front/limits"),
+                          *request.mutable_subscribe()->add_subscription()->mutable_path());
   REQUIRE(stream->Write(request));
   gnmi::SubscribeResponse response;
   REQUIRE(stream->Read(&response));
@@ -417,16 +417,17 @@
   CHECK(until(
       [&] {
         std::vector<model::PathValue> leaves;
-        return ManagementClient(renewed).get({parse_path("/front/name")}, Kind::all, leaves, 1).ok();
+        return ManagementClient(renewed).get({parse_path("/front/name")}, DataType::all, leaves, 1).ok();
       },
       10));
-  CHECK(watch.streams() == 1);
+  CHECK(watch.streams_started() == 1);
   while (stream->Read(&response)) {
   }
   CHECK_FALSE(stream->Finish().ok());
   std::vector<model::PathValue> leaves;
-  CHECK_FALSE(
-      ManagementClient(as(authority, "short")).get({parse_path("/front/name")}, Kind::all, leaves, 2).ok());
+  CHECK_FALSE(ManagementClient(as(authority, "short"))
+                  .get({parse_path("/front/name")}, DataType::all, leaves, 2)
+                  .ok());
 }
 
 TEST_CASE("what cannot listen says so: a taken port, a certificate that is not there") {
--- a/tests/management/test_transaction.cpp
+++ b/tests/management/test_transaction.cpp
@@ -14,7 +14,7 @@
 };
 
 // What is durable outlives the process; the process dies at the step that the test names.
-struct World final : Journal, Running {
+struct World final : Journal, ConfigTarget {
   std::vector<Revision> disk;
   std::string runs;
   int steps = 0, die_at = -1;
@@ -28,8 +28,9 @@
     disk.push_back(revision);
     step(); // after it, before it is known
   }
-  std::optional<No> refuse(const std::string &document) override {
-    return document.starts_with("bad") ? std::optional<No>({Refusal::invalid, "bad document"}) : std::nullopt;
+  std::optional<Rejection> check(const std::string &document) override {
+    return document.starts_with("bad") ? std::optional<Rejection>({ChangeError::invalid, "bad document"})
+                                       : std::nullopt;
   }
   std::optional<std::string> apply(const std::string &document) override {
     step(); // before applying
@@ -50,10 +51,10 @@
         CAPTURE(confirmed, refused, die_at);
         World world;
         Transactions before(world, world);
-        REQUIRE(before.recover("old", 1).refusal == Refusal::none);
+        REQUIRE(before.recover("old", 1).error == ChangeError::none);
         world.steps = 0, world.die_at = die_at, world.will_not_apply = refused;
         bool answered = false;
-        Answer answer;
+        ChangeResult answer;
         try {
           answer = before.set({refused ? "port new" : "new", "ana", "test", {}, confirmed ? 10.0 : 0.0}, 2);
           answered = true;
@@ -62,16 +63,16 @@
         world.die_at = -1, world.will_not_apply = false;
         world.runs.clear();
         Transactions after(world, world);
-        REQUIRE(after.recover("never", 3).refusal == Refusal::none);
+        REQUIRE(after.recover("never", 3).error == ChangeError::none);
         std::string wanted = refused ? "port new" : "new";
         CHECK((world.runs == "old" || world.runs == wanted));
-        CHECK(world.runs == after.running().document);
-        if (answered && answer.refusal == Refusal::none) CHECK(world.runs == wanted);
-        if (answered && answer.refusal != Refusal::none) CHECK(world.runs == "old");
+        CHECK(world.runs == after.current().document);
+        if (answered && answer.error == ChangeError::none) CHECK(world.runs == wanted);
+        if (answered && answer.error != ChangeError::none) CHECK(world.runs == "old");
         // Not confirmed in time, it is undone, also across the restart.
         if (confirmed && world.runs == wanted) {
           CHECK(after.next_due() == 12.0);
-          CHECK(after.tick(12).refusal == Refusal::none);
+          CHECK(after.roll_back_expired(12).error == ChangeError::none);
           CHECK(world.runs == "old");
           Transactions again(world, world);
           again.recover("never", 20);
@@ -88,16 +89,16 @@
   t.recover("a", 1);
   t.set({"b", "ana", "", {}, 0}, 2);
   auto kept = world.disk.size();
-  CHECK(t.set({"bad", "ana", "", {}, 0}, 3).refusal == Refusal::invalid);
-  CHECK(t.set({"c", "ana", "", 1, 0}, 3).refusal == Refusal::stale);
-  CHECK(t.confirm(2, "ana", 3).refusal == Refusal::unknown_revision);
-  CHECK(t.roll_back(9, "ana", 3).refusal == Refusal::unknown_revision);
+  CHECK(t.set({"bad", "ana", "", {}, 0}, 3).error == ChangeError::invalid);
+  CHECK(t.set({"c", "ana", "", 1, 0}, 3).error == ChangeError::stale_revision);
+  CHECK(t.confirm(2, "ana", 3).error == ChangeError::unknown_revision);
+  CHECK(t.roll_back(9, "ana", 3).error == ChangeError::unknown_revision);
   CHECK(world.disk.size() == kept);
   CHECK(world.runs == "b");
-  REQUIRE(t.set({"c", "ana", "", 2, 5}, 4).refusal == Refusal::none);
-  CHECK(t.set({"d", "eva", "", {}, 0}, 5).refusal == Refusal::unconfirmed);
-  CHECK(t.confirm(3, "eva", 6).refusal == Refusal::none);
-  CHECK(t.tick(100).refusal == Refusal::none);
+  REQUIRE(t.set({"c", "ana", "", 2, 5}, 4).error == ChangeError::none);
+  CHECK(t.set({"d", "eva", "", {}, 0}, 5).error == ChangeError::unconfirmed_change);
+  CHECK(t.confirm(3, "eva", 6).error == ChangeError::none);
+  CHECK(t.roll_back_expired(100).error == ChangeError::none);
   CHECK(world.runs == "c");
   CHECK(t.roll_back(1, "eva", 7).revision == 4);
   CHECK(world.runs == "a");
@@ -108,16 +109,16 @@
   World world;
   Transactions t(world, world);
   t.recover("port old", 1);
-  REQUIRE(t.set({"new", "ana", "", {}, 5}, 2).refusal == Refusal::none);
+  REQUIRE(t.set({"new", "ana", "", {}, 5}, 2).error == ChangeError::none);
   world.will_not_apply = true;
-  CHECK(t.tick(7).refusal == Refusal::not_applied);
+  CHECK(t.roll_back_expired(7).error == ChangeError::apply_failed);
   CHECK(world.runs == "new");
   CHECK(t.state() == Transactions::State::awaiting_confirmation);
   CHECK(t.next_due().value_or(0) > 7);
   world.will_not_apply = false;
-  CHECK(t.tick(*t.next_due()).refusal == Refusal::none);
+  CHECK(t.roll_back_expired(*t.next_due()).error == ChangeError::none);
   CHECK(world.runs == "port old");
-  CHECK(t.state() == Transactions::State::settled);
+  CHECK(t.state() == Transactions::State::confirmed);
 }
 
 TEST_CASE("a thousand changes, valid and not, killed in between: what runs is what was last accepted") {
@@ -131,14 +132,14 @@
     std::string document = (chance() / 7 % 5 == 0 ? "bad " : "v ") + std::to_string(i);
     world.steps = 0, world.die_at = chance() / 7 % 20 == 0 ? static_cast<int>(chance() / 7 % 4) : -1;
     try {
-      if (t->set({document, "x", "", {}, 0}, i).refusal == Refusal::none) accepted = document;
+      if (t->set({document, "x", "", {}, 0}, i).error == ChangeError::none) accepted = document;
     } catch (const Killed &) {
       ++kills;
       world.die_at = -1;
       t = std::make_unique<Transactions>(world, world);
       t->recover("never", i);
-      CHECK((t->running().document == accepted || t->running().document == document));
-      accepted = t->running().document;
+      CHECK((t->current().document == accepted || t->current().document == document));
+      accepted = t->current().document;
     }
     REQUIRE(world.runs == accepted);
   }
