--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -183,7 +183,7 @@
 
 } // namespace
 
-void add_manage(CLI::App &app) {
+void add_management_commands(CLI::App &app) {
   auto speaks = [&](CLI::App *command) {
     command->add_option("--target", given.target.address, "The front's management address")->required();
     command->add_option("--authority", given.target.authority,
@@ -232,7 +232,7 @@
   one->footer("Exit codes: 0 no difference, 1 some.");
 }
 
-int run_manage(CLI::App &app) {
+int run_management_command(CLI::App &app) {
   const std::pair<const char *, int (*)()> commands[] = {
       {"get", get},         {"set", set},           {"confirm", confirm}, {"watch", watch},
       {"history", history}, {"rollback", rollback}, {"diff", diff}};
--- a/src/cli/manage.h
+++ b/src/cli/manage.h
@@ -8,8 +8,9 @@
 
 namespace snowshore::cli {
 
-// Adds the commands; run_manage does the one that was given, and returns the exit code, or -1 where none was.
-void add_manage(CLI::App &app);
-int run_manage(CLI::App &app);
+// Adds the commands; run_management_command does the one that was given, and returns the exit code, or -1
+// where none was.
+void add_management_commands(CLI::App &app);
+int run_management_command(CLI::App &app);
 
 } // namespace snowshore::cli
--- a/src/cli/snowshore.cpp
+++ b/src/cli/snowshore.cpp
@@ -39,7 +39,7 @@
   check->footer("Example:\n  snowshore check front.cue site.cue --show");
   auto *version = app.add_subcommand("version", "Print the version");
 
-  cli::add_manage(app);
+  cli::add_management_commands(app);
 
   try {
     app.parse(argc, argv);
@@ -56,7 +56,7 @@
     return 2;
   }
   if (*edge) return program::run_edge(files, SNOWSHORE_VERSION);
-  if (int code = cli::run_manage(app); code >= 0) return code;
+  if (int code = cli::run_management_command(app); code >= 0) return code;
   try {
     site::FrontRecord record = site::load_front(files);
     if (show)
--- a/src/cli/unmanaged.cpp
+++ b/src/cli/unmanaged.cpp
@@ -3,7 +3,7 @@
 
 namespace snowshore::cli {
 
-void add_manage(CLI::App &) {}
-int run_manage(CLI::App &) { return -1; }
+void add_management_commands(CLI::App &) {}
+int run_management_command(CLI::App &) { return -1; }
 
 } // namespace snowshore::cli
