--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-using management::Kind;
+using management::DataType;
 using management::ManagementClient;
 using management::Reply;
 using model::Edit;
 using model::Json;
-using model::Leaf;
 using model::parse_path;
-using model::text_of;
+using model::path_to_text;
+using model::PathValue;
 
 struct Given { // by the command line
   management::Target target;
   std::string path = "/", value, type = "all", cause, commit_id, store;
   std::vector<std::string> files, more_edits;
-  std::uint64_t revision = 0, from = 0, to = 0, read_at = 0;
+  std::uint64_t revision = 0, from = 0, to = 0, expected_revision = 0;
   double confirm_within = 0, sample = 0;
   bool remove = false, replace = false, cancel = false;
 };
@@ -56,14 +56,17 @@
   return 0;
 }
 
-void print(const std::vector<Leaf> &leaves) {
-  for (const Leaf &leaf : leaves) std::cout << text_of(leaf.path) << " " << leaf.value.dump(2) << "\n";
+void print(const std::vector<PathValue> &leaves) {
+  for (const PathValue &leaf : leaves)
+    std::cout << path_to_text(leaf.path) << " " << leaf.value.dump(2) << "\n";
 }
 
 int get() {
   ManagementClient client(given.target);
-  std::vector<Leaf> leaves;
-  Kind kind = given.type == "config" ? Kind::configuration : given.type == "state" ? Kind::state : Kind::all;
+  std::vector<PathValue> leaves;
+  DataType kind = given.type == "config"  ? DataType::configuration
+                  : given.type == "state" ? DataType::state
+                                          : DataType::all;
   Reply reply = client.get({parse_path(given.path)}, kind, leaves);
   if (!reply.ok()) return refused(reply);
   print(leaves);
@@ -85,7 +88,7 @@
   }
   management::SetOptions options;
   options.cause = given.cause;
-  if (given.read_at > 0) options.read_at = given.read_at;
+  if (given.expected_revision > 0) options.expected_revision = given.expected_revision;
   if (given.confirm_within > 0) {
     options.commit = management::SetOptions::Commit::request;
     options.confirm_within = given.confirm_within;
@@ -104,7 +107,7 @@
 
 int rollback() {
   management::SetOptions options;
-  options.roll_back = given.revision;
+  options.rollback_revision = given.revision;
   return done(ManagementClient(given.target).set({}, options));
 }
 
@@ -125,9 +128,9 @@
 }
 
 int diff_documents(const model::Model &model, const std::string &from, const std::string &to) {
-  for (const model::Changed &one : model.changes(from, to))
-    std::cout << one.path << ": " << (one.from ? one.from->dump() : "(none)") << " -> "
-              << (one.to ? one.to->dump() : "(none)") << "  [" << name_of(one.when) << "]\n";
+  for (const model::Difference &one : model.diff(from, to))
+    std::cout << one.path << ": " << (one.before ? one.before->dump() : "(none)") << " -> "
+              << (one.after ? one.after->dump() : "(none)") << "  [" << name_of(one.takes_effect) << "]\n";
   return from == to ? 0 : 1;
 }
 
@@ -135,19 +138,19 @@
   model::Model model;
   if (!given.store.empty()) {
     std::string from, to;
-    for (const management::Revision &revision : store::Store::peek(given.store)) {
+    for (const management::Revision &revision : store::Store::read_history_read_only(given.store)) {
       if (revision.number == given.from) from = revision.document;
       if (revision.number == given.to) to = revision.document;
     }
     if (from.empty() || to.empty()) throw std::runtime_error("the store has not both revisions");
     return diff_documents(model, from, to);
   }
-  std::vector<Leaf> running;
-  Reply reply = ManagementClient(given.target).get({parse_path("/front")}, Kind::configuration, running);
+  std::vector<PathValue> running;
+  Reply reply = ManagementClient(given.target).get({parse_path("/front")}, DataType::configuration, running);
   if (!reply.ok()) return refused(reply);
   if (running.size() != 1) throw std::runtime_error("the front told of no configuration");
-  std::string document = model.check(Json{{"snowshore:front", running[0].value}}.dump());
-  return diff_documents(model, document, model.document_of(site::load_front(given.files).record));
+  std::string document = model.validate(Json{{"snowshore:front", running[0].value}}.dump());
+  return diff_documents(model, document, model.to_document(site::load_front(given.files).record));
 }
 
 void print_history(std::uint64_t revision, double at, const std::string &user, const std::string &cause,
@@ -161,15 +164,15 @@
 
 int history() {
   if (!given.store.empty()) { // of a front that is down, or beside one that runs
-    for (const management::Revision &r : store::Store::peek(given.store))
-      print_history(r.number, r.at, r.user, r.cause, r.confirm_by == 0);
+    for (const management::Revision &r : store::Store::read_history_read_only(given.store))
+      print_history(r.number, r.committed_at, r.user, r.cause, r.confirm_deadline == 0);
     return 0;
   }
-  std::vector<Leaf> entries;
-  Reply reply =
-      ManagementClient(given.target).get({parse_path("/state/history[revision=*]")}, Kind::state, entries);
+  std::vector<PathValue> entries;
+  Reply reply = ManagementClient(given.target)
+                    .get({parse_path("/state/history[revision=*]")}, DataType::state, entries);
   if (!reply.ok()) return refused(reply);
-  for (const Leaf &entry : entries) {
+  for (const PathValue &entry : entries) {
     const Json &v = entry.value;
     print_history(std::stoull(v.value("revision", std::string("0"))),
                   std::stod(v.value("at", std::string("0"))), v.value("user", std::string()),
@@ -180,7 +183,7 @@
 
 } // namespace
 
-void add_manage(CLI::App &app) {
+void add_management_commands(CLI::App &app) {
   auto speaks = [&](CLI::App *command) {
     command->add_option("--target", given.target.address, "The front's management address")->required();
     command->add_option("--authority", given.target.authority,
@@ -201,7 +204,7 @@
   one->add_flag("--replace", given.replace, "All that stands there");
   one->add_option("--and", given.more_edits, "PATH=VALUE, in the same change; may be given again");
   one->add_option("--cause", given.cause, "For the history");
-  one->add_option("--read-at", given.read_at, "Refuse it if another revision is in force");
+  one->add_option("--read-at", given.expected_revision, "Refuse it if another revision is in force");
   one->add_option("--confirm-within", given.confirm_within, "Seconds; undone where no confirm comes");
   one->add_option("--id", given.commit_id, "Of the change to confirm");
   one->footer(
@@ -229,7 +232,7 @@
   one->footer("Exit codes: 0 no difference, 1 some.");
 }
 
-int run_manage(CLI::App &app) {
+int run_management_command(CLI::App &app) {
   const std::pair<const char *, int (*)()> commands[] = {
       {"get", get},         {"set", set},           {"confirm", confirm}, {"watch", watch},
       {"history", history}, {"rollback", rollback}, {"diff", diff}};
