--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -139,7 +139,7 @@
   std::vector<RawClient *> held;
   for (std::size_t i = 0; i < room; ++i) { // every place is taken by an open request
     held.push_back(&scene.viewer());
-    held.back()->say(PlatformScene::start(scene.next_tag()));
+    held.back()->send(PlatformScene::start(scene.next_tag()));
   }
   REQUIRE(scene.until([&] { return scene.front->core().in_hand() == room; }));
   bool done = false;
--- a/tests/rtsp/test_rtsp.cpp
+++ b/tests/rtsp/test_rtsp.cpp
@@ -96,7 +96,7 @@
 TEST_CASE("each end of a set-up has one outcome") {
   using rtsp::EndReason;
   struct Row {
-    End end;
+    EndReason end;
     int status; // 0: a release, -1: no message
     Outcome outcome;
     bool started;
