--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -21,19 +21,19 @@
     asio::io_context io(1);
     asio::signal_set signals = edge::keep_signals(io);
     std::string file = variable("NODE_CONFIG");
-    if (file.empty()) throw BootError("NODE_CONFIG: is not set");
-    Boot boot = load_boot(file);
-    telemetry::Log log("-", telemetry::level_of(log_level));
+    if (file.empty()) throw NodeConfigError("NODE_CONFIG: is not set");
+    NodeConfig boot = load_node_config(file);
+    telemetry::Log log("-", telemetry::parse_log_level(log_level));
     log.info("starting", {{"name", boot.name},
                           {"sockets", boot.sockets},
                           {"memory_mb", boot.memory_mb},
                           {"cores", boot.cores},
-                          {"list_number", boot.known.number()},
-                          {"given", boot.core.given}});
+                          {"list_number", boot.initial_list.number()},
+                          {"given", boot.core.decision_settings}});
     PlatformFront front(io, std::move(boot), log);
-    log.info("serving", {{"port", front.viewers().local().port()}});
+    log.info("serving", {{"port", front.viewers().local_endpoint().port()}});
     auto read_again = [&] {
-      if (auto why = front.change(load_boot(file))) throw BootError(*why);
+      if (auto why = front.change(load_node_config(file))) throw NodeConfigError(*why);
       log.info("reloaded");
     };
     edge::serve(io, signals, front.core().clock(), log,
--- a/src/platform/servers.h
+++ b/src/platform/servers.h
@@ -1,5 +1,6 @@
-// The platform's servers' door: the core's set-ups, rungs and ends onto kept RTSP connections, what servers
-// say into calls on the core; and the watch over servers that hold plays, judged by Liveness.
+// The server gateway of the platform's protocol: sends the core's set-ups, rung changes and ends on
+// persistent RTSP connections, and turns the messages of servers into calls on the core. It also checks with
+// Liveness whether servers that hold plays are alive. It runs on the core's executor.
 #pragma once
 #include "edge/core.h"
 #include "platform/boot.h"
@@ -14,98 +15,122 @@
 
 namespace snowshore::platform {
 
-class Servers final : public edge::ServersDoor {
+class RtspServerGateway final : public edge::ServerGateway {
  public:
   struct Counters {
-    std::uint64_t ended_done = 0, ended_reset = 0, ended_left = 0, notes = 0, malformed = 0, strangers = 0,
-                  early_ends = 0, lost_silent = 0, lost_restarted = 0, lost_gone = 0, made_room = 0,
-                  servers_walked = 0;        // looked at one after another, whatever for
-    std::array<std::uint64_t, 8> outcomes{}; // of set-ups
-    std::array<std::uint64_t, std::size(rtsp::kEndNames)> downs{}; // of connections
+    // servers_scanned counts the servers that loops over many servers have looked at.
+    std::uint64_t ended_done = 0, ended_reset = 0, ended_left = 0, feedback_messages = 0, malformed = 0,
+                  unknown_sessions = 0, early_releases = 0, lost_silent = 0, lost_restarted = 0,
+                  lost_gone = 0, closed_for_budget = 0, servers_scanned = 0;
+    // Results of set-ups, by Outcome.
+    std::array<std::uint64_t, 8> outcomes{};
+    // Ends of connections, by rtsp::End.
+    std::array<std::uint64_t, std::size(rtsp::kEndNames)> disconnects{};
   };
-  Servers(asio::io_context &io, const Boot &boot, telemetry::Log &log, Viewers &viewers);
-  void attach(edge::Core &core) { core_ = &core; }
-  void start(); // the watch
-  // The planned end: no connection is opened only to listen any more; the next life hears what is said on its
-  // own.
+  RtspServerGateway(asio::io_context &io, const NodeConfig &config, telemetry::Log &log,
+                    ViewerGateway &viewers);
+  void set_core(edge::Core &core) { core_ = &core; }
+  // Starts the periodic check of servers.
+  void start_liveness_checks();
+  // Shutdown has begun: no connection is opened only to receive any more. The front end's next run receives
+  // what servers say then.
   void drain() { draining_ = true; }
-  void reload(); // other times and limits stand in the configuration now
+  // Applies the times and limits of the configuration, which has changed.
+  void reload();
 
-  bool owes_releases() const; // not yet handed to a connection that is up
+  // Returns whether a release has not been passed to an established connection yet.
+  bool has_unsent_releases() const;
   const Counters &counters() const { return counters_; }
   const rtsp::PeerCounters &peer_counters() const { return peer_counters_; }
   std::size_t connections() const { return peer_counters_.connections; }
-  std::size_t listed() const { return listed_; }
-  std::size_t with_peer() const { return with_peer_.size(); }
-  // What is believed of each server with sessions beside what its sockets carried, into the log at level
-  // debug.
-  void report();
+  // Number of servers that have not left.
+  std::size_t listed_count() const { return listed_count_; }
+  // Number of servers that have a peer, see below.
+  std::size_t peer_count() const { return servers_with_peer_.size(); }
+  // Logs at level debug, for each server with sessions, what the engine holds of it and what its connections
+  // carried.
+  void log_server_statistics();
 
-  void set_up(int play, const edge::Allocation &allocation) override;
-  void withdraw(int play, std::string_view why) override;
-  void handed_over(int play) override;
-  void step(int play, int rung) override;
-  void end(int play, std::string_view why) override;
-  void probe(int server) override;
-  void listed(int server, const edge::ListedServer &entry) override;
+  void start_set_up(int play, const edge::Allocation &allocation) override;
+  void cancel_set_up(int play, std::string_view why) override;
+  void play_handed_over(int play) override;
+  void change_rung(int play, int rung) override;
+  void end_play(int play, std::string_view why) override;
+  void probe_server(int server) override;
+  void update_server(int server, const edge::ListedServer &entry) override;
   void forget_server(int server) override;
 
  private:
-  struct Site { // one server
+  struct ServerSlot {
     edge::ListedServer entry;
     std::unique_ptr<rtsp::Peer> peer;
-    Liveness life;
-    bool ask_again = false, known = false; // known: the list has named it
-    double set_aside_until = 0;            // its connection was closed to make room; steady clock
-    std::uint64_t serial = 0;              // its index may be another's by then
-    std::uint64_t sent = 0, started = 0, refused = 0, failed = 0, notes = 0; // since the last report
-    explicit Site(const LivenessTerms &terms) : life(terms) {}
+    Liveness liveness;
+    // known: the list has named the server.
+    bool reconnect_requested = false, known = false;
+    // Until this time of the steady clock no connection is opened, because one was closed for the connection
+    // budget.
+    double set_aside_until = 0;
+    // Tells this server from a later one with the same index.
+    std::uint64_t serial = 0;
+    // Counts since the last log_server_statistics().
+    std::uint64_t sent = 0, started = 0, refused = 0, failed = 0, notes = 0;
+    explicit ServerSlot(const LivenessSettings &settings) : liveness(settings) {}
   };
-  struct EarlyEnd { // a server's release of a play that is not in hand; it is not said again
+  // A server's release of a play that the core does not hold yet. The server does not repeat it, so it is
+  // kept for the handover of the play.
+  struct EarlyRelease {
     std::uint64_t session = 0;
-    std::string server; // its id
+    // The server's id.
+    std::string server;
     Outcome outcome = Outcome::reset;
     double at = 0;
   };
-  Site *site(int server) {
-    return static_cast<std::size_t>(server) < sites_.size() ? sites_[static_cast<std::size_t>(server)].get()
-                                                            : nullptr;
+  ServerSlot *server_slot(int server) {
+    return static_cast<std::size_t>(server) < server_slots_.size()
+               ? server_slots_[static_cast<std::size_t>(server)].get()
+               : nullptr;
   }
-  void share_descriptors(); // of those for servers, over those that may be connected to
+  // Divides the descriptors for servers among the servers that may be connected to.
+  void share_descriptors();
   void count_listed(bool before, bool after);
-  rtsp::Peer *peer_of(int server); // made where there is none; nothing for a server that has left
-  void open(int server);
-  void drop_peer(int server);
-  void watch_plays(int server, bool stood_still);
+  // The server's peer, which is made where there is none; null for a server that has left.
+  rtsp::Peer *peer_of(int server);
+  void open_connection(int server);
+  void close_peer(int server);
+  void check_server(int server, bool stood_still);
   void set_up_ended(int server, std::uint64_t session, rtsp::End end, const rtsp::Message *message,
                     double took);
-  void request(int server, std::uint64_t session, const rtsp::Message &message);
-  void down(int server, rtsp::End end, bool last);
-  // Plays that stood there before that moment are over; counted where there are any.
-  void lost(int server, const char *why, std::uint64_t &counter, double before = 1e18);
-  LoadReport load_of(const rtsp::Message &message);
-  void watch();
-  bool make_room();
+  void request_received(int server, std::uint64_t session, const rtsp::Message &message);
+  void connection_ended(int server, rtsp::End end, bool last);
+  // Ends the plays that were set up on the server before this time, and increments the counter where there
+  // are any.
+  void server_lost(int server, const char *why, std::uint64_t &counter, double before = 1e18);
+  LoadReport load_report_of(const rtsp::Message &message);
+  void check_servers();
+  bool close_connection_for_budget();
   std::size_t plays_at(int server) const { return core_->plays().playing_at(server).size(); }
 
   asio::io_context &io_;
-  const Boot &boot_;
+  const NodeConfig &config_;
   telemetry::Log &log_;
-  Viewers &viewers_;
+  ViewerGateway &viewers_;
   edge::Core *core_ = nullptr;
   rtsp::Times times_;
   rtsp::Limits limits_;
-  LivenessTerms liveness_terms_;
+  LivenessSettings liveness_terms_;
   rtsp::PeerCounters peer_counters_;
   Counters counters_;
-  std::vector<std::unique_ptr<Site>> sites_; // by server
-  SortedIndices with_peer_;                  // servers to which there is something to say, or was lately
-  std::deque<EarlyEnd> early_ends_;
+  // By server.
+  std::vector<std::unique_ptr<ServerSlot>> server_slots_;
+  // Servers with a peer: those to which something is to be sent, or was sent lately.
+  SortedIndices servers_with_peer_;
+  std::deque<EarlyRelease> early_releases_;
   std::uint64_t next_serial_ = 1;
-  std::size_t listed_ = 0; // that have not left
-  double watched_at_ = 0;
+  // Number of servers that have not left.
+  std::size_t listed_count_ = 0;
+  double checked_at_ = 0;
   bool draining_ = false;
-  asio::steady_timer watch_timer_;
+  asio::steady_timer check_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -1,4 +1,5 @@
-// The platform's players' door: viewers' lines into calls on the core, its answers into lines.
+// The player gateway of the platform's protocol: turns the lines of viewers into calls on the core, and the
+// core's answers into lines. It runs on the core's executor.
 #pragma once
 #include "edge/core.h"
 #include "jsonlines/server.h"
@@ -11,92 +12,105 @@
 
 namespace snowshore::platform {
 
-class Viewers final : public edge::PlayersDoor {
+class ViewerGateway final : public edge::PlayerGateway {
  public:
   struct Counters {
     std::uint64_t set_ups = 0, handed_over = 0, left = 0, released = 0, repeated = 0, refused_bad = 0,
-                  unreadable = 0, strangers = 0, tests = 0, no_room = 0, announced_later = 0,
+                  unreadable = 0, unknown_plays = 0, tests = 0, no_room = 0, announced_later = 0,
                   announced_again = 0, moved_over = 0;
   };
-  // Listens from listen() on; throws std::system_error.
-  Viewers(asio::io_context &io, const Boot &boot, telemetry::Log &log);
-  void attach(edge::Core &core) { core_ = &core; }
+  // Binds the address, and accepts connections from listen() on. Throws std::system_error.
+  ViewerGateway(asio::io_context &io, const NodeConfig &config, telemetry::Log &log);
+  void set_core(edge::Core &core) { core_ = &core; }
   void listen();
-  void reload(); // other limits stand in the configuration now
+  // Applies the limits of the configuration, which has changed.
+  void reload();
 
-  void drain() { draining_ = true; } // tests fail from now on
-  void shut();                       // nothing new is taken any more: it is declined at once
-  // Nothing that came is unread, nothing said is unsent.
-  bool is_quiet() { return server_->is_quiet(); }
-  bool owes_ends() const { return !later_.empty(); } // of sessions, with no connection to say them on
+  // From now on health checks fail.
+  void drain() { draining_ = true; }
+  // From now on each new request is declined at once.
+  void stop_accepting();
+  // Returns whether all received bytes are read and all written bytes are sent.
+  bool is_idle() { return server_->is_quiet(); }
+  // Ends of sessions wait for a connection on which they can be sent.
+  bool has_unsent_ends() const { return !deferred_lines_.empty(); }
   void finish() { server_->finish(); }
-  bool listens() const { return server_->listens(); }
+  bool is_listening() const { return server_->listens(); }
   void stop() { server_->stop(); }
   std::size_t connections() const { return server_->connections(); }
-  asio::ip::tcp::endpoint local() const { return server_->local(); }
+  asio::ip::tcp::endpoint local_endpoint() const { return server_->local(); }
   const Counters &counters() const { return counters_; }
-  std::size_t unsent() const { return server_->unsent(); }
+  std::size_t unsent_bytes() const { return server_->unsent(); }
   const jsonlines::Counters &line_counters() const { return server_->counters(); }
 
-  // What the server's door needs of a play.
-  const std::string &description(int play) { return at_door(play).description; }
+  // What the server gateway needs of a play.
+  const std::string &description(int play) { return pending_play(play).description; }
   std::uint64_t tag(int play) { return core_->plays().at(play).id; }
 
-  void answer(int play, const edge::SetUpResult &result) override;
-  void decline(int play, double retry_after) override;
-  void fail(int play) override;
-  void move(int play) override;
-  void ended(int play, Outcome outcome) override;
+  void send_set_up_result(int play, const edge::SetUpResult &result) override;
+  void send_decline(int play, double retry_after) override;
+  void send_failure(int play) override;
+  void send_move(int play) override;
+  void send_end(int play, Outcome outcome) override;
   void forget_play(int play) override;
 
  private:
   using Connection = jsonlines::Server::Id;
-  struct AtDoor {
+  // What the gateway keeps of a play.
+  struct PendingPlay {
     Connection connection = 0;
-    std::string description; // until the answer
-    bool open = false;       // no answer yet
+    // Kept until the play is answered.
+    std::string description;
+    // The play has no answer yet.
+    bool open = false;
   };
-  struct Later { // what could not be said for want of a connection
+  // A line that waits for a connection.
+  struct DeferredLine {
     std::string line;
     double until;
   };
-  struct Said { // an end that its viewer has not yet confirmed, which it need not
+  // An end that was sent and that its viewer has not confirmed; a viewer need not confirm it.
+  struct UnconfirmedEnd {
     Connection to;
     std::uint64_t tag;
     std::string line;
     double at;
   };
-  AtDoor &at_door(int play) {
-    if (static_cast<std::size_t>(play) >= at_door_.size())
-      at_door_.resize(static_cast<std::size_t>(play) + 1);
-    return at_door_[static_cast<std::size_t>(play)];
+  PendingPlay &pending_play(int play) {
+    if (static_cast<std::size_t>(play) >= pending_plays_.size())
+      pending_plays_.resize(static_cast<std::size_t>(play) + 1);
+    return pending_plays_[static_cast<std::size_t>(play)];
   }
   jsonlines::Limits limits() const;
   void on_line(Connection from, std::string_view line);
   void on_closed(Connection which, const char *why);
   void start(Connection from, const jsonlines::Message &message);
   void finish(Connection from, const jsonlines::Message &message);
-  // The terms, or what is wrong with them.
-  std::optional<PlayTerms> terms_of(const jsonlines::Message &message, bool stands, std::string &why) const;
-  void refuse(Connection to, std::uint64_t tag, const std::string &why); // a bad request
-  void bad(Connection from, const std::string &why);                     // nothing there to answer
-  std::string declined(std::uint64_t tag, double retry_after) const;
-  void settle(int play, std::string line);
+  // Returns the request, or nothing with the reason in `why`. stands: the play already runs.
+  std::optional<PlayRequest> parse_play_request(const jsonlines::Message &message, bool stands,
+                                                std::string &why) const;
+  // Answers an invalid request.
+  void refuse_request(Connection to, std::uint64_t tag, const std::string &why);
+  // Counts and logs a line that cannot be answered.
+  void reject_line(Connection from, const std::string &why);
+  std::string decline_line(std::uint64_t tag, double retry_after) const;
+  void send_answer(int play, std::string line);
   void announce(int play, std::string line);
   void announce(Connection to, std::uint64_t tag, std::string line);
-  void say_later();
+  void send_deferred_lines();
 
   asio::io_context &io_;
-  const Boot &boot_;
+  const NodeConfig &config_;
   telemetry::Log &log_;
   edge::Core *core_ = nullptr;
   std::unique_ptr<jsonlines::Server> server_;
-  std::vector<AtDoor> at_door_; // by play
-  std::deque<Later> later_;
-  std::deque<Said> said_;
-  std::size_t held_bytes_ = 0;
+  // By play.
+  std::vector<PendingPlay> pending_plays_;
+  std::deque<DeferredLine> deferred_lines_;
+  std::deque<UnconfirmedEnd> unconfirmed_ends_;
+  std::size_t description_bytes_ = 0;
   Counters counters_;
-  bool draining_ = false, shut_ = false;
+  bool draining_ = false, stopped_accepting_ = false;
 };
 
 } // namespace snowshore::platform
--- a/src/program/managed.cpp
+++ b/src/program/managed.cpp
@@ -11,22 +11,22 @@
 
 using edge::Edge;
 using management::Manager;
-using site::FrontRecord;
+using site::FrontConfig;
 
 // Management's threads reach the front through its executor: a call is posted, its answer waited for. Once
 // shut, all calls end with Ending, also those that wait.
 class PortOnExecutor final : public management::FrontPort {
  public:
   PortOnExecutor(asio::io_context &io, Edge &edge) : io_(io), edge_(edge) {}
-  std::optional<std::string> refusal_of(const FrontRecord &next, bool drained) override {
+  std::optional<std::string> refusal_of(const FrontConfig &next, bool drained) override {
     return call<std::optional<std::string>>(
         [this, next, drained] { return edge_.refusal_of(next, drained); });
   }
-  std::optional<std::string> change(const FrontRecord &next, bool drained) override {
+  std::optional<std::string> change(const FrontConfig &next, bool drained) override {
     return call<std::optional<std::string>>([this, next, drained] { return edge_.change(next, drained); });
   }
-  site::FrontState state() override {
-    return call<site::FrontState>([this] { return edge_.state(); });
+  site::FrontSnapshot state() override {
+    return call<site::FrontSnapshot>([this] { return edge_.state(); });
   }
   void shut() {
     std::lock_guard lock(mutex_);
@@ -69,12 +69,12 @@
 
 class Managed final : public Beside {
  public:
-  Managed(const FrontRecord &record, const std::string &version)
-      : terms_(record.management), store_(record.management.store, record.management.history),
-        manager_(model_, store_, record.management.history, version) {}
+  Managed(const FrontConfig &record, const std::string &version)
+      : terms_(record.management), store_(record.management.store, record.management.max_history),
+        manager_(model_, store_, record.management.max_history, version) {}
   ~Managed() override { detach(); }
 
-  FrontRecord start(const FrontRecord &record) override { return manager_.start(record); }
+  FrontConfig start(const FrontConfig &record) override { return manager_.start(record); }
 
   int attach(asio::io_context &io, Edge &edge, telemetry::Log &log) override {
     io_ = &io, log_ = &log;
@@ -84,7 +84,7 @@
     return service_->port();
   }
 
-  void take_files(const FrontRecord &next) override {
+  void take_files(const FrontConfig &next) override {
     if (reading_.joinable()) reading_.join();
     reading_ = std::thread([this, next] {
       management::Answer answer = manager_.take_files(next, "SIGHUP");
@@ -106,7 +106,7 @@
   }
 
  private:
-  site::ManagementTerms terms_;
+  site::ManagementSettings terms_;
   model::Model model_;
   store::Store store_;
   Manager manager_;
@@ -119,7 +119,7 @@
 
 } // namespace
 
-std::unique_ptr<Beside> make_beside(const FrontRecord &record, const std::string &version) {
+std::unique_ptr<Beside> make_beside(const FrontConfig &record, const std::string &version) {
   if (record.management.listen.empty()) return nullptr;
   return std::make_unique<Managed>(record, version);
 }
--- a/src/program/run.cpp
+++ b/src/program/run.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using edge::Edge;
-using site::FrontRecord;
+using site::FrontConfig;
 
 // For whoever waits for the ports.
 void write_ports(const std::string &file, const Edge &edge, int management) {
@@ -21,16 +21,18 @@
 
 } // namespace
 
-int run_edge(const std::vector<std::string> &files, const std::string &version, edge::MakeFront make) {
+int run_edge(const std::vector<std::string> &files, const std::string &version,
+             edge::DecisionEngineFactory make) {
   try {
     asio::io_context io(1);
     asio::signal_set signals = edge::keep_signals(io);
-    FrontRecord record = site::load_front(files);
+    FrontConfig record = site::load_front_config(files);
     std::unique_ptr<Beside> beside = make_beside(record, version);
     if (beside) record = beside->start(record);
-    telemetry::Log log(record.log_where, telemetry::level_of(record.log_level));
+    telemetry::Log log(record.log_target, telemetry::parse_log_level(record.log_level));
     auto source = edge::watch_files(io, record.list_file, record.catalogue_file);
-    if (source->polls()) log.warning("list_polled", {{"cause", "the system has no file watch left to give"}});
+    if (source->is_polling())
+      log.warning("list_polled", {{"cause", "the system has no file watch left to give"}});
     std::string ports = record.ports_file;
     Edge edge(io, record, log, std::move(source), std::move(make));
     struct AtEnd {
@@ -49,8 +51,8 @@
     bool draining = false;
     auto read_again = [&] {
       if (draining) throw std::runtime_error("the front drains");
-      if (beside) return beside->take_files(site::load_front(files));
-      log.info("reloaded", {{"needs_restart", edge.reload(site::load_front(files))}});
+      if (beside) return beside->take_files(site::load_front_config(files));
+      log.info("reloaded", {{"needs_restart", edge.reload(site::load_front_config(files))}});
     };
     edge::serve(io, signals, edge.clock(), log, {read_again, [&](std::function<void()> done) {
                                                    draining = true;
--- a/src/program/run.h
+++ b/src/program/run.h
@@ -9,6 +9,6 @@
 
 // Reads the records, serves until SIGTERM, reads them again on SIGHUP. The process's exit code.
 int run_edge(const std::vector<std::string> &record_files, const std::string &version,
-             edge::MakeFront make = make_front);
+             edge::DecisionEngineFactory make = make_decision_engine);
 
 } // namespace snowshore::program
--- a/src/program/unmanaged.cpp
+++ b/src/program/unmanaged.cpp
@@ -4,7 +4,7 @@
 
 namespace snowshore::program {
 
-std::unique_ptr<Beside> make_beside(const site::FrontRecord &record, const std::string &) {
+std::unique_ptr<Beside> make_beside(const site::FrontConfig &record, const std::string &) {
   if (!record.management.listen.empty())
     throw std::runtime_error("management.listen: this build has no management (SNOWSHORE_MANAGEMENT)");
   return nullptr;
--- a/src/registry/listed_server.h
+++ b/src/registry/listed_server.h
@@ -1,4 +1,4 @@
-// What discovery says of a server, and of several at a time.
+// What discovery says of one server, and lists of such entries.
 #pragma once
 #include "decision/policy.h"
 
@@ -13,15 +13,16 @@
 
 struct ListedServer {
   std::string id, hall, kind;
-  std::optional<std::uint64_t> number; // the same at every front; without one it is made of the id
+  // The same at every front end; where it is absent, it is derived from the id.
+  std::optional<std::uint64_t> stable_id;
   asio::ip::tcp::endpoint address;
   int cell = 0;
-  double weight = 1, started = 0; // started: epoch seconds, 0: long ago
-  Standing standing = Standing::active;
+  // The start is given in epoch seconds; 0 where the server started long ago.
+  double weight = 1, started_at = 0;
+  ServerStatus status = ServerStatus::active;
 };
 
-// A whole list, in place of the last, or what has changed since: one entry for each server that the change
-// names.
+// A whole list, which replaces the previous one, or a change: one entry for each server that it concerns.
 struct ServerList {
   std::uint64_t version = 0;
   std::vector<ListedServer> servers;
--- a/src/registry/server_registry.cpp
+++ b/src/registry/server_registry.cpp
@@ -3,7 +3,7 @@
 namespace snowshore::registry {
 
 int ServerRegistry::apply(const ListedServer &entry) {
-  ++visited_;
+  ++entries_scanned_;
   int server = indices_.index_of(entry.id);
   auto place = static_cast<std::size_t>(server);
   if (place >= entries_.size()) entries_.resize(place + 1);
@@ -11,13 +11,13 @@
   return server;
 }
 
-std::vector<int> ServerRegistry::finish_whole() {
+std::vector<int> ServerRegistry::finish_full_list() {
   std::vector<int> left;
-  visited_ += entries_.size();
+  entries_scanned_ += entries_.size();
   for (std::size_t s = 0; s < entries_.size(); ++s) {
     Entry &one = entries_[s];
-    if (!one.known || one.named_by == generation_ || one.listed.standing == Standing::left) continue;
-    one.listed.standing = Standing::left;
+    if (!one.known || one.last_generation == generation_ || one.listed.status == ServerStatus::left) continue;
+    one.listed.status = ServerStatus::left;
     left.push_back(static_cast<int>(s));
   }
   return left;
@@ -31,7 +31,7 @@
 ServerList ServerRegistry::list() const {
   ServerList out;
   for (const Entry &one : entries_) {
-    if (one.known && one.listed.standing != Standing::left) out.servers.push_back(one.listed);
+    if (one.known && one.listed.status != ServerStatus::left) out.servers.push_back(one.listed);
   }
   return out;
 }
--- a/src/registry/server_registry.h
+++ b/src/registry/server_registry.h
@@ -1,7 +1,7 @@
-// The servers that discovery has told of: id, address, state, place. Each has a small index, under which the
-// rest of the front end knows it until it is forgotten. Changes cost work for the servers that they name; a
-// whole list costs work for that list and for the servers known before, and may be applied in parts. No I/O,
-// no clock.
+// The servers that discovery has listed, with id, address, status and location. Each has a small index, by
+// which the rest of the front end refers to it until forget() releases it. The cost of a change is
+// proportional to the servers that it names; the cost of a whole list is proportional to the list and the
+// servers known before, and a whole list may be applied in parts. No I/O, no clock.
 #pragma once
 #include "decision/id_table.h"
 #include "registry/listed_server.h"
@@ -13,31 +13,38 @@
 
 class ServerRegistry {
  public:
-  // Takes what is said of one server; its index.
+  // Adds or updates one server and returns its index.
   int apply(const ListedServer &entry);
-  // A whole list: begin, apply() for each of its servers, then finish. Servers that were known before and are
-  // not named by it have left: finish_whole() marks them and returns their indices, each once.
-  void begin_whole() { ++generation_; }
-  std::vector<int> finish_whole();
+  // A whole list is applied by begin_full_list(), apply() for each of its servers, and finish_full_list().
+  // Known servers that the list does not name have left: finish_full_list() marks them as such and returns
+  // their indices, each once.
+  void begin_full_list() { ++generation_; }
+  std::vector<int> finish_full_list();
 
-  int find(const std::string &id) const { return indices_.find(id); } // below 0: not known
+  // The index of a server, or a negative value where it is not known.
+  int find(const std::string &id) const { return indices_.find(id); }
   const std::string &id(int server) const { return indices_.id(server); }
   const ListedServer &at(int server) const { return entries_[static_cast<std::size_t>(server)].listed; }
   std::size_t size() const { return indices_.size(); }
-  void forget(int server);                           // its index may be given again
-  ServerList list() const;                           // those that have not left, by index; for operators
-  std::uint64_t visited() const { return visited_; } // entries looked at so far
+  // Removes the server; its index may be reused.
+  void forget(int server);
+  // All servers that have not left, by index; for operators.
+  ServerList list() const;
+  // Number of entries that calls have looked at so far.
+  std::uint64_t entries_scanned() const { return entries_scanned_; }
 
  private:
   struct Entry {
     ListedServer listed;
-    std::uint64_t named_by = 0; // the generation of whole lists that last named it
+    // The generation of whole lists that last named the server.
+    std::uint64_t last_generation = 0;
     bool known = false;
   };
   IdTable<std::string> indices_;
-  std::vector<Entry> entries_; // by index
+  // By index.
+  std::vector<Entry> entries_;
   std::uint64_t generation_ = 0;
-  mutable std::uint64_t visited_ = 0;
+  mutable std::uint64_t entries_scanned_ = 0;
 };
 
 } // namespace snowshore::registry
--- a/src/rtsp/peer.cpp
+++ b/src/rtsp/peer.cpp
@@ -8,19 +8,19 @@
 
 namespace snowshore::rtsp {
 
-using telemetry::span;
-using telemetry::steady_now;
+using telemetry::steady_seconds;
+using telemetry::to_timer_duration;
 
 namespace {
 
 constexpr double kRetiredStays =
     1; // a retired connection may still bring a late answer that must be released
 
-using given::write_hex16;
+using given::format_hex16;
 
 std::optional<std::uint64_t> session_of(const Message &message) {
   auto text = message.find("Session");
-  return text ? given::read_hex16(*text) : std::nullopt;
+  return text ? given::parse_hex16(*text) : std::nullopt;
 }
 
 Message request(const char *method, std::string uri, const char *number, std::uint64_t session) {
@@ -28,7 +28,7 @@
   message.method = method;
   message.uri = std::move(uri);
   message.add("CSeq", number);
-  message.add("Session", write_hex16(session));
+  message.add("Session", format_hex16(session));
   return message;
 }
 
@@ -104,7 +104,7 @@
     if (link->state == State::closed || link->retired) continue;
     if (for_set_up && link->set_ups.size() >= limits_.set_ups) continue;
     if (link->state == State::open && link->set_ups.empty() &&
-        steady_now() - link->used_at > times_.idle * 0.8)
+        steady_seconds() - link->used_at > times_.idle * 0.8)
       continue; // the other side may be closing it
     if (!best || rank(*link) < rank(*best)) best = link;
   }
@@ -121,9 +121,9 @@
   auto link = std::make_shared<Link>(io_);
   links_.push_back(link);
   ++counters_.connects, ++counters_.connections;
-  link->used_at = steady_now();
+  link->used_at = steady_seconds();
   std::weak_ptr<bool> alive = alive_;
-  link->timer.expires_after(span(times_.connect));
+  link->timer.expires_after(to_timer_duration(times_.connect));
   link->timer.async_wait([this, link, alive](asio::error_code error) {
     if (!error && !alive.expired() && link->state == State::connecting) end(link, End::not_up);
   });
@@ -134,7 +134,7 @@
     asio::error_code ignored;
     link->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     become(*link, State::open);
-    link->opened_at = link->used_at = steady_now();
+    link->opened_at = link->used_at = steady_seconds();
     if (!link->waiting.empty()) write(link);
     read(link);
     say_releases();
@@ -144,7 +144,7 @@
 }
 
 void Peer::say(const std::shared_ptr<Link> &link, std::uint64_t session, std::string text) {
-  link->used_at = steady_now();
+  link->used_at = steady_seconds();
   link->unsent += text.size();
   link->waiting.emplace_back(session, std::move(text));
   if (link->state != State::open) return;
@@ -172,7 +172,7 @@
                                                                asio::error_code error, std::size_t size) {
     if (alive.expired() || link->state != State::open) return;
     if (error) return end(link, error == asio::error::eof ? End::closed : End::reset);
-    link->used_at = link->heard_at = steady_now();
+    link->used_at = link->heard_at = steady_seconds();
     events_.heard();
     bool readable =
         link->reader.take(std::string_view(link->buffer.data(), size), [&](const Message &message) {
@@ -183,7 +183,7 @@
     if (!link->reader.partial())
       link->partial_since = -1;
     else if (link->partial_since < 0)
-      link->partial_since = steady_now();
+      link->partial_since = steady_seconds();
     read(link);
   });
 }
@@ -196,7 +196,7 @@
       Message heard;
       heard.status = 200;
       if (auto number = message.find("CSeq")) heard.add("CSeq", *number);
-      heard.add("Session", write_hex16(*session));
+      heard.add("Session", format_hex16(*session));
       say(link, *session, rtsp::write(heard));
       if (out_.contains(*session)) return set_up_over(*session, End::answered, &message);
     }
@@ -230,7 +230,7 @@
 void Peer::set_up_over(std::uint64_t session, End how, const Message *message) {
   auto it = out_.find(session);
   if (it == out_.end()) return;
-  double took = steady_now() - it->second.sent;
+  double took = steady_seconds() - it->second.sent;
   if (auto link = it->second.link.lock()) std::erase(link->set_ups, session);
   out_.erase(it);
   events_.set_up_ended(session, how, message, took);
@@ -255,10 +255,10 @@
   message.body = set_up.description;
   Out &out = out_[set_up.session];
   out.link = link;
-  out.sent = steady_now();
+  out.sent = steady_seconds();
   out.number = ++set_ups_;
   link->set_ups.push_back(set_up.session);
-  out.timer = std::make_unique<asio::steady_timer>(io_, span(set_up.time_out));
+  out.timer = std::make_unique<asio::steady_timer>(io_, to_timer_duration(set_up.time_out));
   out.timer->async_wait([this, session = set_up.session, timed = out.number,
                          alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
@@ -269,7 +269,7 @@
     bool left = give_up(session);
     // A connection that has brought nothing since may be of no more use.
     if (left && silent && silent->heard_at <= sent) retire(silent);
-    events_.set_up_ended(session, left ? End::timed_out : End::not_up, nullptr, steady_now() - sent);
+    events_.set_up_ended(session, left ? End::timed_out : End::not_up, nullptr, steady_seconds() - sent);
   });
   say(link, set_up.session, rtsp::write(message));
 }
@@ -297,7 +297,7 @@
 }
 
 void Peer::release(std::uint64_t session, int cause) {
-  double now = steady_now();
+  double now = steady_seconds();
   while (!releases_.empty() &&
          (releases_.front().since < now - kReleaseWithin || releases_.size() >= kMostReleases)) {
     counters_.releases_dropped += releases_.front().on.expired();
@@ -309,7 +309,7 @@
 
 // Those not said yet, or said on a connection that has gone since; again at each look until they are.
 void Peer::say_releases() {
-  double now = steady_now();
+  double now = steady_seconds();
   std::erase_if(releases_, [&](const Release &one) {
     auto link = one.on.lock();
     return (link && link->state == State::open && link->sending.empty() && link->waiting.empty() &&
@@ -354,7 +354,7 @@
   auto link = choose(false);
   if (!link) return fail(End::no_room);
   probe_ = next_probe_ += 2;
-  probe_timer_.expires_after(span(times_.probe));
+  probe_timer_.expires_after(to_timer_duration(times_.probe));
   probe_timer_.async_wait(
       [this, session = probe_, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
         if (error || alive.expired() || probe_ != session) return;
@@ -393,7 +393,7 @@
 // No new set-ups on it; it goes once those on it have ended, a moment later.
 void Peer::retire(const std::shared_ptr<Link> &link) {
   link->retired = true;
-  link->retired_at = steady_now();
+  link->retired_at = steady_seconds();
 }
 
 void Peer::end(const std::shared_ptr<Link> &link, End how) {
@@ -417,7 +417,7 @@
 void Peer::look() {
   ++counters_.looks;
   std::weak_ptr<bool> alive = alive_;
-  double now = steady_now();
+  double now = steady_seconds();
   for (auto &link : std::vector(links_.begin(), links_.end())) {
     bool idle = link->state == State::open && link->set_ups.empty();
     if (link->state == State::open && link->partial_since >= 0 && now - link->partial_since > times_.whole)
--- a/src/site/front_record.cpp
+++ b/src/site/front_record.cpp
@@ -192,22 +192,22 @@
   cross.finish();
 }
 
-ManagementTerms management_terms(const Record &record) {
+ManagementSettings management_terms(const Record &record) {
   auto names = [&](const char *name) {
     std::vector<std::string> out;
     for (const Record &one : record.items(name)) out.push_back(one.as_text());
     return out;
   };
   auto size = [&](const char *name) { return static_cast<std::size_t>(record.whole(name)); };
-  ManagementTerms out;
+  ManagementSettings out;
   out.listen = record.text("listen"), out.store = record.text("store");
   out.certificate = record.text("certificate"), out.key = record.text("key");
   out.client_authority = record.text("client_authority");
   out.plaintext = record.flag("plaintext");
-  out.readers = names("readers"), out.setters = names("setters");
-  out.sets_waiting = size("sets_waiting"), out.streams = size("streams");
-  out.history = size("history");
-  out.behind_time = record.seconds("behind_time"), out.snapshot_every = record.seconds("snapshot_every");
+  out.readers = names("readers"), out.writers = names("setters");
+  out.max_pending_sets = size("sets_waiting"), out.max_streams = size("streams");
+  out.max_history = size("history");
+  out.max_lag = record.seconds("behind_time"), out.snapshot_interval = record.seconds("snapshot_every");
   if (out.listen.empty()) return out;
   Cross cross;
   http::Endpoint at;
@@ -251,8 +251,8 @@
   return {address, static_cast<unsigned short>(port)};
 }
 
-Given module_values(const Record &front) {
-  Given given;
+DecisionSettings read_decision_settings(const Record &front) {
+  DecisionSettings given;
   auto put = [&](const char *name, const std::string &value) { given[name] = value; };
   auto put_number = [&](const char *name, double value) { put(name, shortest(value)); };
   auto put_list = [&](const char *name, const std::vector<Record> &items, auto value) {
@@ -268,7 +268,7 @@
   put(given::kHall, front.text("hall"));
   put_list(given::kHalls, fleet.items("halls"), [](const Record &r) { return r.as_text(); });
   put_list(given::kKinds, fleet.items("kinds"), [](const Record &r) { return r.text("name"); });
-  put_list(given::kKindPlaces, fleet.items("kinds"),
+  put_list(given::kKindCapacities, fleet.items("kinds"),
            [](const Record &r) { return shortest(r.number("places")); });
   put_number(given::kCells, fleet.number("cells"));
   put_number(given::kRacks, fleet.number("racks"));
@@ -288,38 +288,38 @@
   put_list(given::kRungRates, rungs, [](const Record &r) { return shortest(r.rate("rate")); });
   put_list(given::kRungImportance, rungs, of_product("importance"));
   for (std::size_t p = 0; p < products.size(); ++p) {
-    given[given::product_value(p, given::kName)] = products[p].text("name");
-    given[given::product_value(p, given::kFirstFrameTarget)] =
+    given[given::product_setting_name(p, given::kName)] = products[p].text("name");
+    given[given::product_setting_name(p, given::kFirstFrameTarget)] =
         shortest(products[p].seconds("first_frame_target"));
-    given[given::product_value(p, given::kTimeLimit)] = shortest(products[p].seconds("time_limit"));
-    given[given::product_value(p, given::kImportance)] = shortest(products[p].number("importance"));
-    given[given::product_value(p, given::kSetUp)] = products[p].text("set_up");
+    given[given::product_setting_name(p, given::kTimeLimit)] = shortest(products[p].seconds("time_limit"));
+    given[given::product_setting_name(p, given::kImportance)] = shortest(products[p].number("importance"));
+    given[given::product_setting_name(p, given::kSetUpMode)] = products[p].text("set_up");
   }
-  put(given::kLoadComesWith, load.text("comes_with"));
+  put(given::kLoadReportSource, load.text("comes_with"));
   put_list(given::kLoadFields, load.items("fields"), [](const Record &r) { return r.as_text(); });
   put_number(given::kMayProbe, load.flag("may_probe"));
   put_number(given::kMayRecall, 1);
   put_number(given::kMayAdviseReturn, 1);
-  put_number(given::kNoteDelay, load.seconds("note_delay"));
-  put_number(given::kLinkNoteInterval, load.seconds("note_interval"));
+  put_number(given::kFeedbackDelay, load.seconds("note_delay"));
+  put_number(given::kLinkFeedbackInterval, load.seconds("note_interval"));
   put_number(given::kAllocationsPerPlay, allocations.number("per_play"));
-  put_number(given::kFurtherSpan, further.seconds("span"));
-  put_number(given::kFurtherFree, further.number("free"));
-  put_number(given::kFurtherShare, further.number("share"));
+  put_number(given::kRetryWindow, further.seconds("span"));
+  put_number(given::kFreeRetries, further.number("free"));
+  put_number(given::kRetryShare, further.number("share"));
   put_number(given::kWarmUp, rules.seconds("warm_up"));
   put_number(given::kColdShare, rules.number("cold_share"));
-  put_number(given::kFallMultiple, rules.number("fall_multiple"));
-  put_number(given::kFallSpan, rules.seconds("fall_span"));
+  put_number(given::kColdOverloadMultiple, rules.number("fall_multiple"));
+  put_number(given::kColdOverloadWindow, rules.seconds("fall_span"));
   put_number(given::kDrainGrace, rules.seconds("drain_grace"));
   put_number(given::kAnswerSlack, rules.seconds("answer_slack"));
   put_number(given::kLongestRetryAfter, front.seconds("retry_after"));
   return given;
 }
 
-FrontRecord read_front(std::span<const records::Source> files) {
+FrontConfig parse_front_config(std::span<const records::Source> files) {
   Record front = records::read(files, front_schema(), "#Front");
   check_together(front);
-  FrontRecord out;
+  FrontConfig out;
   out.name = front.text("name");
   out.index = front.whole("index");
   out.fronts = front.whole("fronts");
@@ -345,8 +345,8 @@
   for (const Record &rung : front.items("rungs")) out.rung_rates.push_back(rung.rate("rate"));
   out.load_in_answers = front.at("load").text("comes_with") == "answers";
   out.answer_slack = front.at("rules").seconds("answer_slack");
-  out.further_span = front.at("allocations").at("further").seconds("span");
-  out.take_plays = front.flag("take_plays");
+  out.retry_window = front.at("allocations").at("further").seconds("span");
+  out.accept_plays = front.flag("take_plays");
   out.management = management_terms(front.at("management"));
   FrontLimits &l = out.limits;
   l.players.read.header_bytes = static_cast<std::size_t>(limits.whole("header_bytes"));
@@ -359,19 +359,19 @@
   l.servers.in_all = static_cast<std::size_t>(limits.whole("all_connections"));
   l.servers.connect_time = limits.seconds("connect_time");
   l.servers.late_time = limits.seconds("late_time");
-  l.open_plays = static_cast<std::size_t>(limits.whole("open_plays"));
-  l.probe_time = limits.seconds("probe_time");
+  l.max_open_plays = static_cast<std::size_t>(limits.whole("open_plays"));
+  l.probe_timeout = limits.seconds("probe_time");
   l.report_silence = limits.seconds("report_silence");
   l.lost_after = limits.seconds("lost_after");
-  out.log_where = log.text("where");
+  out.log_target = log.text("where");
   out.log_level = log.text("level");
-  out.shown = records::render(front.value());
-  out.given = module_values(front);
+  out.settled_text = records::render(front.value());
+  out.decision_settings = read_decision_settings(front);
   out.record = front;
   return out;
 }
 
-FrontRecord load_front(const std::vector<std::string> &names) {
+FrontConfig load_front_config(const std::vector<std::string> &names) {
   std::vector<records::Source> files;
   records::Faults faults;
   for (const std::string &name : names) {
@@ -382,7 +382,7 @@
     }
   }
   if (!faults.empty()) throw records::RecordError(std::move(faults));
-  return read_front(files);
+  return parse_front_config(files);
 }
 
 } // namespace snowshore::site
--- a/src/site/front_record.h
+++ b/src/site/front_record.h
@@ -1,5 +1,6 @@
-// The front's record: its schema, and what the parts of the front take from it. The module gets its values
-// under its own names; one that it needs and the record lacks is an error at start, by name.
+// The configuration record of the HTTP front end: its schema, and the values that each part of the front end
+// reads from it. The decision engine gets its settings under its own names (decision/names.h); a setting that
+// it needs and the record lacks is an error at start, which names the setting.
 #pragma once
 #include "decision/policy.h"
 #include "http/client.h"
@@ -11,59 +12,81 @@
 
 namespace snowshore::site {
 
-const records::Source &front_schema(); // defines #Front, #List and #Catalogue
+// The schema, which defines #Front, #List and #Catalogue.
+const records::Source &front_schema();
 
-struct ProductTerms { // what the front itself needs of a product
+// What the front end itself needs of a product.
+struct ProductSettings {
   std::string name;
-  double time_limit = 0; // seconds
+  // Seconds.
+  double time_limit = 0;
   double rate_factor = 1;
-  int floor = 0, top = 0, seats = 0; // rungs; plays of one title, 0: as many as come
+  // Lowest and highest rung, and the limit of plays of one title (0: no limit).
+  int min_rung = 0, max_rung = 0, seats_per_title = 0;
 };
 
-struct ManagementTerms { // empty listen: none
+// Settings of the management interface, which is off where `listen` is empty.
+struct ManagementSettings {
   std::string listen, store, certificate, key, client_authority;
   bool plaintext = false;
-  std::vector<std::string> readers, setters; // by certificate name
-  std::size_t sets_waiting = 16, streams = 32, history = 1000;
-  double behind_time = 10, snapshot_every = 0.1; // seconds
+  // Certificate names of clients that may read, and of those that may also set.
+  std::vector<std::string> readers, writers;
+  // Limits: set requests that wait, streams that are open, revisions that the history keeps.
+  std::size_t max_pending_sets = 16, max_streams = 32, max_history = 1000;
+  // Seconds for which a subscriber may lag behind before its stream is ended, and between two snapshots.
+  double max_lag = 10, snapshot_interval = 0.1;
 };
 
-struct FrontLimits { // each has a metric and a line in docs/operating.md
+// Each limit has a metric and a line in docs/operating.md.
+struct FrontLimits {
   http::ServerLimits players;
   http::ClientLimits servers;
-  std::size_t open_plays = 0; // held at a time; more are turned away before they are taken
-  double probe_time = 0;      // seconds
-  double report_silence = 0;  // a report stream without a line for so long is opened anew
-  double lost_after = 0;      // without one for so long, the plays there count as ended
+  // Plays that the front end holds at a time; further requests are declined before a play is added.
+  std::size_t max_open_plays = 0;
+  // Seconds that a probe may take.
+  double probe_timeout = 0;
+  // A report stream that carries no line for this many seconds is reopened.
+  double report_silence = 0;
+  // A server that sends no report line for this many seconds is lost, and the plays on it count as ended.
+  double lost_after = 0;
 };
 
-struct FrontRecord {
+// The checked configuration of one front end.
+struct FrontConfig {
   std::string name;
   int index = 0, fronts = 1;
   http::Endpoint players, operators;
-  std::string ports_file; // empty: none is written
-  std::uint64_t seed = 0; // 0: from the system's random device
+  // The file to which the bound ports are written; none where it is empty.
+  std::string ports_file;
+  // 0: the seed comes from the system's random device.
+  std::uint64_t seed = 0;
   std::string list_file, catalogue_file;
   std::vector<std::string> halls, kinds;
-  std::vector<ProductTerms> products;
-  std::vector<double> rung_rates; // kB a second
+  std::vector<ProductSettings> products;
+  // kB per second.
+  std::vector<double> rung_rates;
   bool load_in_answers = true;
-  double answer_slack = 0, further_span = 0;
-  bool take_plays = true;
-  ManagementTerms management;
+  double answer_slack = 0, retry_window = 0;
+  bool accept_plays = true;
+  ManagementSettings management;
   FrontLimits limits;
-  std::string log_where, log_level;
-  records::Record record; // settled
-  std::string shown;      // the whole record as settled, for comparing at a reload
-  Given given;            // for the module
+  std::string log_target, log_level;
+  // The record with all defaults filled in.
+  records::Record record;
+  // Its text, which a reload compares.
+  std::string settled_text;
+  DecisionSettings decision_settings;
 };
 
-// Throws records::RecordError with every fault, also where values do not fit each other.
-FrontRecord read_front(std::span<const records::Source> files);
-FrontRecord load_front(const std::vector<std::string> &names);
-Given module_values(const records::Record &front);
+// Checks and reads the record. Throws records::RecordError, which lists every error, also values that
+// contradict each other.
+FrontConfig parse_front_config(std::span<const records::Source> files);
+// The same, of the files with these names.
+FrontConfig load_front_config(const std::vector<std::string> &names);
+// The decision engine's settings that the record gives.
+DecisionSettings read_decision_settings(const records::Record &front);
 
-http::Endpoint
-parse_endpoint(const std::string &text); // "127.0.0.1:80", "[::1]:80"; throws std::invalid_argument
+// Parses "127.0.0.1:80" or "[::1]:80". Throws std::invalid_argument.
+http::Endpoint parse_endpoint(const std::string &text);
 
 } // namespace snowshore::site
--- a/src/site/front_state.h
+++ b/src/site/front_state.h
@@ -1,4 +1,5 @@
-// What a front holds and sees at one moment, for operators: a copy, taken on its executor.
+// A snapshot of a front end's state for operators. It is copied on the front end's executor and may then be
+// read in any thread.
 #pragma once
 #include "decision/policy.h"
 
@@ -9,16 +10,18 @@
 
 namespace snowshore::site {
 
-struct FrontState {
+struct FrontSnapshot {
   struct ServerState {
     std::string id;
-    Standing standing = Standing::active;
+    ServerStatus status = ServerStatus::active;
     ServerView view;
   };
   std::string boot, service;
-  double uptime = 0, list_age = -1; // seconds; -1: no list yet
+  // Seconds; the list's age is -1 while there is no list.
+  double uptime = 0, list_age = -1;
   std::uint64_t list_version = 0;
-  std::vector<std::pair<std::string, std::uint64_t>> plays, answers; // by state, by outcome
+  // Number of plays by state, and of answers by outcome.
+  std::vector<std::pair<std::string, std::uint64_t>> plays, answers;
   std::vector<ServerState> servers;
 };
 
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -13,7 +13,7 @@
 constexpr const char *kNames[] = {"debug", "info", "warning", "error"};
 }
 
-Log::Log(const std::string &where, Level level) : level_(level) {
+Log::Log(const std::string &where, LogLevel level) : level_(level) {
   try {
     std::shared_ptr<spdlog::sinks::sink> sink;
     if (where == "-") {
@@ -32,8 +32,8 @@
 
 Log::~Log() = default;
 
-void Log::event(Level level, const char *event, Parts parts) {
-  if (!writes(level)) return;
+void Log::write(LogLevel level, const char *event, Fields parts) {
+  if (!is_enabled(level)) return;
   auto now = std::chrono::system_clock::now().time_since_epoch();
   nlohmann::ordered_json line;
   line["time"] =
@@ -45,9 +45,9 @@
   logger_->info(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-Level level_of(const std::string &name) {
+LogLevel parse_log_level(const std::string &name) {
   for (int i = 0; i < 4; ++i) {
-    if (name == kNames[i]) return static_cast<Level>(i);
+    if (name == kNames[i]) return static_cast<LogLevel>(i);
   }
   throw std::invalid_argument("no log level '" + name + "'");
 }
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -1,5 +1,5 @@
-// The structured log: one JSON object a line on standard error or a file, written by spdlog. The parts of
-// an event are made before its level is looked at: on a path that is walked often, ask writes() first.
+// The structured log: one JSON object per line on standard error or in a file, written by spdlog. The fields
+// of an event are built before its level is checked; code on a hot path checks is_enabled() first.
 #pragma once
 #include <nlohmann/json.hpp>
 
@@ -14,27 +14,32 @@
 
 namespace snowshore::telemetry {
 
-enum class Level { debug, info, warning, error };
+enum class LogLevel { debug, info, warning, error };
 
+// Used from one thread.
 class Log {
  public:
-  using Parts = std::initializer_list<std::pair<const char *, nlohmann::json>>;
-  // where: a file's name, or "-" for standard error. Throws std::runtime_error when it cannot be opened.
-  explicit Log(const std::string &where, Level level = Level::info);
+  // Names and values of an event, in the order in which they are written.
+  using Fields = std::initializer_list<std::pair<const char *, nlohmann::json>>;
+  // where: a file name, or "-" for standard error. Throws std::runtime_error where the file cannot be opened.
+  explicit Log(const std::string &where, LogLevel level = LogLevel::info);
   ~Log();
-  bool writes(Level level) const { return level >= level_; }
-  void set_level(Level level) { level_ = level; }
-  void event(Level level, const char *event, Parts parts = {});
-  void debug(const char *name, Parts parts = {}) { event(Level::debug, name, parts); }
-  void info(const char *name, Parts parts = {}) { event(Level::info, name, parts); }
-  void warning(const char *name, Parts parts = {}) { event(Level::warning, name, parts); }
-  void error(const char *name, Parts parts = {}) { event(Level::error, name, parts); }
+  // Returns whether events of this level are written.
+  bool is_enabled(LogLevel level) const { return level >= level_; }
+  void set_level(LogLevel level) { level_ = level; }
+  // Writes one event, unless its level is below the log's.
+  void write(LogLevel level, const char *event, Fields parts = {});
+  void debug(const char *name, Fields parts = {}) { write(LogLevel::debug, name, parts); }
+  void info(const char *name, Fields parts = {}) { write(LogLevel::info, name, parts); }
+  void warning(const char *name, Fields parts = {}) { write(LogLevel::warning, name, parts); }
+  void error(const char *name, Fields parts = {}) { write(LogLevel::error, name, parts); }
 
  private:
   std::shared_ptr<spdlog::logger> logger_;
-  Level level_;
+  LogLevel level_;
 };
 
-Level level_of(const std::string &name); // "debug", "info", "warning", "error"; throws std::invalid_argument
+// Parses "debug", "info", "warning" or "error". Throws std::invalid_argument for other names.
+LogLevel parse_log_level(const std::string &name);
 
 } // namespace snowshore::telemetry
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -19,9 +19,11 @@
                                                                                     std::move(bounds));
 }
 
-std::string Metrics::text() const { return prometheus::TextSerializer().Serialize(registry_.Collect()); }
+std::string Metrics::render_text() const {
+  return prometheus::TextSerializer().Serialize(registry_.Collect());
+}
 
-std::vector<double> time_bounds() {
+std::vector<double> duration_buckets() {
   return {1e-5, 2e-5, 5e-5, 1e-4, 2e-4, 5e-4, 1e-3, 2e-3, 5e-3, 1e-2, 2e-2, 5e-2, 0.1, 0.2, 0.5, 1, 2, 5, 10};
 }
 
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -29,26 +29,26 @@
 }
 
 std::uint64_t read_corr(std::string_view text) {
-  auto value = given::read_hex16(text);
+  auto value = given::parse_hex16(text);
   if (!value) throw WireError("corr '" + std::string(text.substr(0, 40)) + "' is not 16 hex digits");
   return *value;
 }
 
 } // namespace
 
-Given plain_settings(const WireLine &line) {
-  std::vector<given::Field> fields;
+DecisionSettings plain_settings(const WireLine &line) {
+  std::vector<given::SettingField> fields;
   for (const auto &field : line.fields()) {
     if (field.first != "i" && field.first != "random_seed") fields.push_back(field);
   }
-  return given::translate(fields);
+  return given::translate_settings(fields);
 }
 
 Instance::Instance(std::string number, const WireLine &line, double now, std::string &out)
     : number_(std::move(number)), out_(out) {
-  Given given = plain_settings(line);
+  DecisionSettings given = plain_settings(line);
   for (std::size_t product = 0;; ++product) {
-    auto it = given.find(given::product_value(product, given::kName));
+    auto it = given.find(given::product_setting_name(product, given::kName));
     if (it == given.end()) break;
     products_.push_back(it->second);
   }
@@ -57,7 +57,7 @@
     if (it == given.end()) break;
     customers_.index_of(it->second);
   }
-  front_ = make_front(given, line.whole("random_seed"), now, *this);
+  front_ = make_decision_engine(given, line.whole("random_seed"), now, *this);
 }
 
 void Instance::begin(const char *name) {
@@ -80,7 +80,7 @@
   out_ += '\n';
 }
 
-void Instance::allocate(int play, int server, double time_out) {
+void Instance::start_allocation(int play, int server, double time_out) {
   begin("ATTEMPT", play);
   out_ += "\ttry_for=";
   append(out_, time_out);
@@ -89,7 +89,7 @@
   out_ += '\n';
 }
 
-void Instance::decline(int play, double retry_after) {
+void Instance::decline_play(int play, double retry_after) {
   begin("DENY", play);
   if (retry_after > 0) {
     out_ += "\tbackoff=";
@@ -98,31 +98,31 @@
   out_ += '\n';
 }
 
-void Instance::fail(int play) {
+void Instance::fail_play(int play) {
   begin("FINISH_ERROR", play);
   out_ += '\n';
 }
 
-void Instance::move(int play) {
+void Instance::move_play(int play) {
   begin("BOUNCE", play);
   out_ += '\n';
 }
 
-void Instance::recall(int play, int allocation) {
+void Instance::recall_allocation(int play, int allocation) {
   begin("RECALL", play);
   out_ += "\tround_no=";
   append(out_, std::int64_t{allocation});
   out_ += '\n';
 }
 
-void Instance::probe(int server) {
+void Instance::probe_server(int server) {
   begin("HEALTH_CHECK");
   out_ += "\tnode=";
   append(out_, static_cast<std::int64_t>(servers_.id(server)));
   out_ += '\n';
 }
 
-void Instance::follow_list() {
+void Instance::request_server_list() {
   begin("KEEP_INFORMED");
   out_ += "\tactive=1\n";
 }
@@ -136,7 +136,7 @@
   out_ += '\n';
 }
 
-void Instance::log(const std::string &text) {
+void Instance::log_message(const std::string &text) {
   begin("REMARK");
   out_ += "\treason_text=" + text + "\n";
 }
@@ -148,8 +148,8 @@
   return static_cast<int>(it - products_.begin());
 }
 
-PlayTerms Instance::terms_of(const WireLine &line) {
-  PlayTerms terms;
+PlayRequest Instance::terms_of(const WireLine &line) {
+  PlayRequest terms;
   terms.product = product_of(line);
   auto customer = line.find("project");
   if (customer && !customer->empty() && *customer != "0")
@@ -157,25 +157,25 @@
   terms.viewer = line.whole_or("partition_key", 0);
   terms.title = titles_.index_of(line.whole_or("asset", 0));
   terms.time_left = line.number_if("expires_in");
-  terms.length_hint = line.number_if("cost");
+  terms.duration_hint = line.number_if("cost");
   terms.first_cell = line.small_or("start_cell", 0);
-  terms.cells = line.small_or("spread", 0);
-  terms.best_rung = line.small_or("max_rung", 0);
-  terms.moved = line.flag_or("moved", false);
-  terms.again = line.flag_or("again", false);
+  terms.cell_count = line.small_or("spread", 0);
+  terms.max_rung = line.small_or("max_rung", 0);
+  terms.is_moved = line.flag_or("moved", false);
+  terms.is_repeated = line.flag_or("again", false);
   return terms;
 }
 
-int Instance::new_play(const WireLine &line, const PlayTerms &terms) {
+int Instance::new_play(const WireLine &line, const PlayRequest &terms) {
   std::uint64_t corr = read_corr(line.text("corr"));
   if (plays_.find(corr) >= 0) throw WireError("corr " + std::string(line.text("corr")) + " comes twice");
   int play = plays_.index_of(corr);
-  titles_.hold(play, terms.title);
+  titles_.add_holder(play, terms.title);
   return play;
 }
 
-void Instance::forget(int play) {
-  titles_.let_go(play);
+void Instance::forget_play(int play) {
+  titles_.release_holder(play);
   plays_.release(play);
 }
 
@@ -190,34 +190,34 @@
 
 LoadReport Instance::load_of(const WireLine &line) const {
   LoadReport report;
-  std::string_view bad = given::read_load(line.find("feedback").value_or(""), ',', report);
+  std::string_view bad = given::parse_load_report(line.find("feedback").value_or(""), ',', report);
   if (!bad.empty()) throw WireError("feedback holds '" + std::string(bad) + "', no name:value pair");
   return report;
 }
 
 void Instance::members(const WireLine &line, const std::vector<ServerEntry> *entries) {
   std::string_view mode = line.text("mode");
-  if (mode == "X") return front_->list_changed(ListKind::unavailable, {});
+  if (mode == "X") return front_->server_list_updated(ListUpdateKind::unavailable, {});
   if (!entries) throw WireError("MEMBERS names a list that was never given");
-  if (mode == "D") return front_->list_changed(ListKind::changes, *entries);
-  if (mode == "F") return front_->list_changed(ListKind::full, *entries);
-  if (mode == "C") return front_->list_changed(ListKind::held, *entries);
+  if (mode == "D") return front_->server_list_updated(ListUpdateKind::changes, *entries);
+  if (mode == "F") return front_->server_list_updated(ListUpdateKind::full, *entries);
+  if (mode == "C") return front_->server_list_updated(ListUpdateKind::initial, *entries);
   throw WireError("unknown mode '" + std::string(mode) + "'");
 }
 
 void Instance::event(const WireLine &line) {
   std::string_view name = line.name();
   if (name == "ORDER") {
-    PlayTerms terms = terms_of(line);
-    front_->play_asked(new_play(line, terms), terms);
+    PlayRequest terms = terms_of(line);
+    front_->play_requested(new_play(line, terms), terms);
   } else if (name == "HANDOVER") {
-    PlayTerms terms = terms_of(line);
+    PlayRequest terms = terms_of(line);
     int server = server_index(line.whole("node"));
     front_->play_handed_over(new_play(line, terms), server, terms);
   } else if (name == "FLOWING") {
     int allocation = line.small("round_no");
     double delay = line.number_if("delay_seen").value_or(0);
-    if (int play = held_play(line); play >= 0) front_->play_starts(play, allocation, delay);
+    if (int play = held_play(line); play >= 0) front_->play_started(play, allocation, delay);
   } else if (name == "REPLY") {
     int allocation = line.small("round_no");
     Outcome outcome = outcome_of(line);
@@ -231,15 +231,15 @@
     int play = held_play(line);
     if (play < 0 || kind < 1 || kind > 4)
       return; // further kinds may come; they carry nothing the module knows
-    constexpr NoteKind kKinds[] = {NoteKind::share_delivered, NoteKind::rung, NoteKind::link_asked,
-                                   NoteKind::uplink_asked};
-    front_->note_on_play(play, kKinds[kind - 1], value);
+    constexpr FeedbackKind kKinds[] = {FeedbackKind::share_delivered, FeedbackKind::rung,
+                                       FeedbackKind::link_demand, FeedbackKind::uplink_demand};
+    front_->feedback_received(play, kKinds[kind - 1], value);
   } else if (name == "CANCELLED_BY_CLIENT") {
     if (int play = held_play(line); play >= 0) front_->viewer_left(play);
   } else if (name == "ECHO") {
     front_->probe_answered(known_server(line), outcome_of(line), load_of(line));
   } else if (name == "TIMER") {
-    front_->timer(line.small("label"));
+    front_->timer_expired(line.small("label"));
   } else if (name != "FROM_PEER") { // fronts share nothing: what a peer says is passed over
     throw WireError("unknown message '" + std::string(name) + "'");
   }
@@ -248,17 +248,17 @@
 void Host::entry(const WireLine &line) {
   if (line.name() != "NODE") throw WireError("a NODE line is due, not '" + std::string(line.name()) + "'");
   Entry entry;
-  entry.plain.number = line.whole("node");
+  entry.plain.stable_id = line.whole("node");
   entry.hall = std::string(line.find("campus").value_or(""));
   entry.kind = std::string(line.find("shape").value_or(""));
   entry.plain.cell = line.small_or("cell", 0);
   entry.plain.weight = line.number_if("rating").value_or(1);
-  entry.plain.started = line.number_if("since").value_or(0);
+  entry.plain.started_at = line.number_if("since").value_or(0);
   std::string_view state = line.find("stage_state").value_or("active");
   if (state == "leaving") {
-    entry.plain.standing = Standing::leaving;
+    entry.plain.status = ServerStatus::leaving;
   } else if (state == "left") {
-    entry.plain.standing = Standing::left;
+    entry.plain.status = ServerStatus::left;
   } else if (state != "active") {
     throw WireError("unknown stage_state '" + std::string(state) + "'");
   }
@@ -274,7 +274,7 @@
   std::vector<ServerEntry> entries;
   for (const Entry &entry : list->second) {
     entries.push_back(entry.plain);
-    entries.back().server = front.server_index(entry.plain.number);
+    entries.back().server = front.server_index(entry.plain.stable_id);
     entries.back().hall = held.halls.index_of(entry.hall);
     entries.back().kind = held.kinds.index_of(entry.kind);
   }
@@ -313,10 +313,10 @@
     lists_[list_].clear();
   } else if (name == "OPEN_INSTANCE") {
     Held held;
-    given::each_part(line_.find("areas").value_or(""), ',',
-                     [&](std::string_view hall) { held.halls.index_of(std::string(hall)); });
-    given::each_part(line_.find("skus").value_or(""), ',',
-                     [&](std::string_view kind) { held.kinds.index_of(std::string(kind)); });
+    given::for_each_part(line_.find("areas").value_or(""), ',',
+                         [&](std::string_view hall) { held.halls.index_of(std::string(hall)); });
+    given::for_each_part(line_.find("skus").value_or(""), ',',
+                         [&](std::string_view kind) { held.kinds.index_of(std::string(kind)); });
     held.instance = std::make_unique<Instance>(std::string(line_.text("i")), line_, now_, reply_);
     instances_[line_.small("i")] = std::move(held);
   } else if (name == "TEARDOWN") {
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -12,35 +12,36 @@
 
 namespace snowshore {
 
-Given plain_settings(const WireLine &line); // the settings of an opening line, under the module's names
+DecisionSettings
+plain_settings(const WireLine &line); // the settings of an opening line, under the module's names
 
-class Instance final : public Answers {
+class Instance final : public DecisionHandler {
  public:
   Instance(std::string number, const WireLine &line, double now, std::string &out);
   void members(const WireLine &line, const std::vector<ServerEntry> *entries);
   void event(const WireLine &line);
-  void clock(double now) { front_->clock(now); }
+  void clock(double now) { front_->set_time(now); }
   int server_index(std::uint64_t number) { return servers_.index_of(number); }
 
   void set_rung(int play, int rung) override;
-  void allocate(int play, int server, double time_out) override;
-  void decline(int play, double retry_after) override;
-  void fail(int play) override;
-  void move(int play) override;
-  void recall(int play, int allocation) override;
-  void forget(int play) override;
+  void start_allocation(int play, int server, double time_out) override;
+  void decline_play(int play, double retry_after) override;
+  void fail_play(int play) override;
+  void move_play(int play) override;
+  void recall_allocation(int play, int allocation) override;
+  void forget_play(int play) override;
   void forget_server(int server) override { servers_.release(server); }
-  void probe(int server) override;
-  void follow_list() override;
+  void probe_server(int server) override;
+  void request_server_list() override;
   void set_timer(double wait, int label) override;
-  void log(const std::string &text) override;
+  void log_message(const std::string &text) override;
 
  private:
   void begin(const char *name);
   void begin(const char *name, int play);
   int product_of(const WireLine &line) const;
-  PlayTerms terms_of(const WireLine &line);
-  int new_play(const WireLine &line, const PlayTerms &terms);
+  PlayRequest terms_of(const WireLine &line);
+  int new_play(const WireLine &line, const PlayRequest &terms);
   int held_play(const WireLine &line) const;
   int known_server(const WireLine &line) const;
   LoadReport load_of(const WireLine &line) const;
@@ -48,10 +49,10 @@
   std::string number_;
   std::string &out_;
   IdTable<std::uint64_t> plays_, servers_;
-  HeldTable<std::uint64_t> titles_; // a title is let go with its last play
+  RefCountedIdTable<std::uint64_t> titles_; // a title is let go with its last play
   IdTable<std::string> customers_;
   std::vector<std::string> products_;
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<DecisionEngine> front_;
 };
 
 class Host {
--- a/src/wirehost/wire_codec.cpp
+++ b/src/wirehost/wire_codec.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 double read_number(std::string_view text, std::string_view what) {
-  auto value = given::number_of(text);
+  auto value = given::parse_number(text);
   if (!value) throw bad(what, text);
   return *value;
 }
--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -12,7 +12,7 @@
   Events events;
   int asked = 0;
   void start(Events e) override { events = std::move(e); }
-  void ask() override { ++asked; }
+  void request_list() override { ++asked; }
 };
 
 struct FakeServer {
@@ -40,7 +40,7 @@
   }
   static http::Response says(int status, double link = 0.2) {
     hints::CmsdLoad load;
-    load.link = link, load.uplink = link;
+    load.link_demand = link, load.uplink_demand = link;
     http::Response response;
     response.status = status;
     response.headers.add("CMSD-Dynamic", hints::write_cmsd("s", load));
@@ -110,7 +110,7 @@
     records::Source files[] = {{"front.cue", kRecord}, {"more.cue", more}};
     auto source = std::make_unique<HandList>();
     list = source.get();
-    edge = std::make_unique<edge::Edge>(io, site::read_front(files), log, std::move(source));
+    edge = std::make_unique<edge::Edge>(io, site::parse_front_config(files), log, std::move(source));
     for (int s = 0; s < count; ++s) servers.push_back(std::make_unique<FakeServer>(io));
     edge::Catalogue catalogue;
     for (const char *title : {"a", "b", "a\r\nSet-Cookie: x=1"}) catalogue[title] = {0, 2};
@@ -126,22 +126,22 @@
     one.cell = s % 2;
     return one;
   }
-  void publish(std::vector<Standing> standings = {}) {
+  void publish(std::vector<ServerStatus> standings = {}) {
     edge::ServerList out;
     out.version = ++version;
     for (int s = 0; s < static_cast<int>(servers.size()); ++s) {
       out.servers.push_back(entry(s));
       if (static_cast<std::size_t>(s) < standings.size())
-        out.servers.back().standing = standings[static_cast<std::size_t>(s)];
+        out.servers.back().status = standings[static_cast<std::size_t>(s)];
     }
-    edge->clock().turn();
+    edge->clock().invalidate();
     list->events.list(out);
   }
   bool until(const std::function<bool()> &holds, double seconds = 4) {
     auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
     while (!holds() && std::chrono::steady_clock::now() < end) {
       io.restart();
-      edge->clock().turn();
+      edge->clock().invalidate();
       io.run_one_for(std::chrono::milliseconds(2));
     }
     return holds();
--- a/tests/edge/test_edge.cpp
+++ b/tests/edge/test_edge.cpp
@@ -110,8 +110,8 @@
   REQUIRE(scene.until([&] { return scene.set_ups() == 1; }));
   FakeServer &server = scene.server_asked();
   bool is_first = &server == scene.servers[0].get();
-  scene.publish(is_first ? std::vector{Standing::leaving, Standing::active}
-                         : std::vector{Standing::active, Standing::leaving});
+  scene.publish(is_first ? std::vector{ServerStatus::leaving, ServerStatus::active}
+                         : std::vector{ServerStatus::active, ServerStatus::leaving});
   server.asked[0].exchange->answer(FakeServer::says(201));
   REQUIRE(scene.until([&] { return EdgeScene::status(player) == 307; }));
   for (auto &other : scene.servers) other->answers = true;
@@ -127,7 +127,7 @@
   for (int i = 0; i < 40; ++i) {
     players.push_back(&scene.ask(i % 2 ? "/play/a" : "/play/b"));
     if (i % 8 == 3) scene.publish();
-    if (i % 8 == 5) scene.publish({Standing::active, Standing::left});
+    if (i % 8 == 5) scene.publish({ServerStatus::active, ServerStatus::left});
     if (i == 20) scene.list->events.unavailable("gone");
     if (i == 30) scene.version = 0, scene.publish();
   }
@@ -271,7 +271,7 @@
   EdgeScene scene;
   auto read = [](const std::string &more) {
     records::Source files[] = {{"front.cue", kRecord}, {"more.cue", more}};
-    return site::read_front(files);
+    return site::parse_front_config(files);
   };
   CHECK(scene.edge->reload(read("limits: idle_time: \"9s\", log: level: \"debug\"")).empty());
   auto rest = scene.edge->reload(read("fronts: 3"));
@@ -314,7 +314,7 @@
     asio::io_context io;
     auto open = polled ? edge::poll_files : edge::watch_files;
     auto source = open(io, (folder / "list.cue").string(), (folder / "cat.cue").string());
-    CHECK(source->polls() == polled);
+    CHECK(source->is_polling() == polled);
     std::vector<std::string> heard;
     edge::ListSource::Events events;
     events.list = [&](edge::ServerList list) {
@@ -346,7 +346,7 @@
     CHECK(next().find("a file that can be read") != std::string::npos);
     put("list.cue", right);
     CHECK(next() == "list 1");
-    source->ask();
+    source->request_list();
     CHECK(next() == "list 1");
   }
   std::filesystem::remove_all(folder);
@@ -358,34 +358,35 @@
 
 TEST_CASE("a play goes only from state to state as the table allows") {
   using S = edge::PlayState;
-  std::vector<std::pair<S, S>> allowed = {{S::asked, S::allocating},   {S::asked, S::answered},
-                                          {S::asked, S::vacant},       {S::asked, S::playing},
-                                          {S::allocating, S::asked},   {S::allocating, S::playing},
-                                          {S::allocating, S::leaving}, {S::playing, S::vacant},
-                                          {S::leaving, S::vacant},     {S::answered, S::vacant}};
+  std::vector<std::pair<S, S>> allowed = {{S::requested, S::allocating}, {S::requested, S::answered},
+                                          {S::requested, S::unused},     {S::requested, S::playing},
+                                          {S::allocating, S::requested}, {S::allocating, S::playing},
+                                          {S::allocating, S::abandoned}, {S::playing, S::unused},
+                                          {S::abandoned, S::unused},     {S::answered, S::unused}};
   std::vector<std::vector<S>> ways = {
-      {}, {S::allocating}, {S::allocating, S::playing}, {S::allocating, S::leaving}, {S::answered}};
+      {}, {S::allocating}, {S::allocating, S::playing}, {S::allocating, S::abandoned}, {S::answered}};
   for (const auto &way : ways) {
-    for (S to : {S::vacant, S::asked, S::allocating, S::playing, S::leaving, S::answered}) {
-      edge::Plays plays;
-      int play = plays.take(1);
-      for (S step : way) plays.become(play, step);
+    for (S to : {S::unused, S::requested, S::allocating, S::playing, S::abandoned, S::answered}) {
+      edge::PlayTable plays;
+      int play = plays.add(1);
+      for (S step : way) plays.set_state(play, step);
       bool may = std::ranges::count(allowed, std::pair(plays.at(play).state, to)) > 0;
       CAPTURE(edge::name_of(plays.at(play).state), edge::name_of(to));
       if (may)
-        CHECK_NOTHROW(plays.become(play, to));
+        CHECK_NOTHROW(plays.set_state(play, to));
       else
-        CHECK_THROWS_AS(plays.become(play, to), std::logic_error);
-      if (may && to == S::vacant) CHECK((plays.open() == 0 && plays.find(1) == -1 && plays.take(2) == play));
+        CHECK_THROWS_AS(plays.set_state(play, to), std::logic_error);
+      if (may && to == S::unused)
+        CHECK((plays.open_count() == 0 && plays.find(1) == -1 && plays.add(2) == play));
     }
   }
 }
 
 namespace {
 
-site::FrontRecord with(const std::string &more) {
+site::FrontConfig with(const std::string &more) {
   records::Source files[] = {{"front.cue", kRecord}, {"more.cue", more}};
-  return site::read_front(files);
+  return site::parse_front_config(files);
 }
 
 std::string instead(const std::string &from, const std::string &to) { // of the scene's record
@@ -394,9 +395,9 @@
   return text;
 }
 
-site::FrontRecord read_text(const std::string &text) {
+site::FrontConfig read_text(const std::string &text) {
   records::Source file{"front.cue", text};
-  return site::read_front({&file, 1});
+  return site::parse_front_config({&file, 1});
 }
 
 } // namespace
--- a/tests/feed/test_feed.cpp
+++ b/tests/feed/test_feed.cpp
@@ -56,11 +56,12 @@
 TEST_CASE("each event is applied once, in order; a gap is told; servers that left go") {
   using Taken = feed::List::Taken;
   feed::List list;
-  auto event = [](std::uint64_t number, bool whole, std::uint32_t id, Standing standing = Standing::active) {
+  auto event = [](std::uint64_t number, bool whole, std::uint32_t id,
+                  ServerStatus standing = ServerStatus::active) {
     feed::Event out;
     out.number = number, out.whole = whole;
     edge::ListedServer one;
-    one.id = feed::server_name(id), one.standing = standing;
+    one.id = feed::server_name(id), one.status = standing;
     out.servers = {one};
     return out;
   };
@@ -69,10 +70,10 @@
   CHECK(list.take(event(2, false, 3)) == Taken::old);
   CHECK(list.take(event(4, false, 3)) == Taken::gap);
   CHECK(feed::List(list).release().servers.size() == 2);
-  CHECK(list.take(event(3, false, 1, Standing::left)) == Taken::applied);
+  CHECK(list.take(event(3, false, 1, ServerStatus::left)) == Taken::applied);
   auto told = feed::List(list).release();
   REQUIRE(told.servers.size() == 2); // told that it left
-  CHECK(told.servers[0].standing == Standing::left);
+  CHECK(told.servers[0].status == ServerStatus::left);
   CHECK(list.take(event(9, true, 7)) == Taken::applied); // the whole list closes any gap
   auto whole = list.release();
   CHECK(whole.version == 9);
@@ -83,32 +84,32 @@
 
 TEST_CASE("the registry: a whole list tells once which servers it no longer names; an index is given again") {
   registry::ServerRegistry servers;
-  auto entry = [](const char *id, Standing standing = Standing::active) {
+  auto entry = [](const char *id, ServerStatus standing = ServerStatus::active) {
     registry::ListedServer out;
-    out.id = id, out.standing = standing;
+    out.id = id, out.status = standing;
     return out;
   };
-  servers.begin_whole();
+  servers.begin_full_list();
   int first = servers.apply(entry("a")), second = servers.apply(entry("b"));
-  CHECK(servers.finish_whole().empty());
+  CHECK(servers.finish_full_list().empty());
   servers.apply(entry("c"));
-  servers.begin_whole();
+  servers.begin_full_list();
   servers.apply(entry("b"));
-  auto left = servers.finish_whole();
+  auto left = servers.finish_full_list();
   CHECK(left == std::vector<int>{first, servers.find("c")});
-  CHECK(servers.at(first).standing == Standing::left);
+  CHECK(servers.at(first).status == ServerStatus::left);
   CHECK(servers.list().servers.size() == 1);
-  servers.begin_whole();
+  servers.begin_full_list();
   servers.apply(entry("b"));
-  CHECK(servers.finish_whole().empty()); // told already
+  CHECK(servers.finish_full_list().empty()); // told already
   servers.forget(first);
   CHECK(servers.find("a") < 0);
   CHECK(servers.apply(entry("d")) == first);
   CHECK(servers.find("b") == second);
-  servers.begin_whole();
-  servers.apply(entry("d")), servers.apply(entry("b", Standing::leaving));
-  CHECK(servers.finish_whole().empty());
-  CHECK(servers.at(second).standing == Standing::leaving);
+  servers.begin_full_list();
+  servers.apply(entry("d")), servers.apply(entry("b", ServerStatus::leaving));
+  CHECK(servers.finish_full_list().empty());
+  CHECK(servers.at(second).status == ServerStatus::leaving);
 }
 
 TEST_CASE("the configuration's events are read, faults by path") {
@@ -117,9 +118,9 @@
     "endpoint":"10.1.0.9:2905","az":"east","model":"std","pod_group":2,"state":"leaving","capacity_hint":4,"boot_ms":1500}]}})");
   feed::Event event = feed::read_known(good, "known.cmds[0]");
   REQUIRE(event.servers.size() == 1);
-  CHECK(event.servers[0].number == 0xc41f7au);
-  CHECK(event.servers[0].started == 1.5);
-  CHECK(event.servers[0].standing == Standing::leaving);
+  CHECK(event.servers[0].stable_id == 0xc41f7au);
+  CHECK(event.servers[0].started_at == 1.5);
+  CHECK(event.servers[0].status == ServerStatus::leaving);
   for (const char *name : {"uid", "endpoint", "state", "pod_group"}) {
     json bad = good;
     bad["nodes"]["targets"][0][name] = "?";
--- a/tests/fuzz/fuzz_management.cpp
+++ b/tests/fuzz/fuzz_management.cpp
@@ -25,7 +25,7 @@
   std::string document;
   World() {
     records::Source file{"front.cue", kText};
-    document = model.document_of(site::read_front({&file, 1}).record);
+    document = model.document_of(site::parse_front_config({&file, 1}).record);
   }
 };
 
@@ -51,7 +51,7 @@
     std::string next = world.model.edit(world.document, management::read_edits(request));
     if (world.model.check(next) != next) std::abort();
     records::Source file{"(edited)", world.model.record_of(next)};
-    site::read_front({&file, 1});
+    site::parse_front_config({&file, 1});
   } catch (const model::Fault &) {
   } catch (const records::RecordError &) {
   }
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -8,7 +8,7 @@
 
 namespace snowshore::testing {
 
-inline Given plain_given() {
+inline DecisionSettings plain_given() {
   return {{"fronts", "1"},
           {"front_index", "0"},
           {"cells", "3"},
@@ -43,7 +43,7 @@
           {"product.1.importance", "1"}};
 }
 
-struct Heard : Answers {
+struct Heard : DecisionHandler {
   std::vector<std::string> lines;
   int server = -1, rung = -1;
   double retry_after = -1, time_out = -1;
@@ -51,22 +51,22 @@
   void set_rung(int play, int r) override {
     rung = r, put("rung " + std::to_string(play) + " " + std::to_string(r));
   }
-  void allocate(int play, int s, double t) override {
+  void start_allocation(int play, int s, double t) override {
     server = s, time_out = t;
     put("allocate " + std::to_string(play));
   }
-  void decline(int play, double after) override {
+  void decline_play(int play, double after) override {
     retry_after = after, put("decline " + std::to_string(play));
   }
-  void fail(int play) override { put("fail " + std::to_string(play)); }
-  void move(int play) override { put("move " + std::to_string(play)); }
-  void recall(int play, int) override { put("recall " + std::to_string(play)); }
-  void forget(int play) override { put("forget " + std::to_string(play)); }
+  void fail_play(int play) override { put("fail " + std::to_string(play)); }
+  void move_play(int play) override { put("move " + std::to_string(play)); }
+  void recall_allocation(int play, int) override { put("recall " + std::to_string(play)); }
+  void forget_play(int play) override { put("forget " + std::to_string(play)); }
   void forget_server(int s) override { put("server forgotten " + std::to_string(s)); }
-  void probe(int s) override { put("probe " + std::to_string(s)); }
-  void follow_list() override { put("follow"); }
+  void probe_server(int s) override { put("probe " + std::to_string(s)); }
+  void request_server_list() override { put("follow"); }
   void set_timer(double, int label) override { last_label = label; }
-  void log(const std::string &) override {}
+  void log_message(const std::string &) override {}
   int count(const std::string &start) const {
     return static_cast<int>(
         std::count_if(lines.begin(), lines.end(), [&](auto &l) { return l.starts_with(start); }));
@@ -77,19 +77,19 @@
 // A front over some servers of weight 4 (a link of 4000 kB a second), one a cell, at time 100.
 struct Scene {
   Heard heard;
-  std::unique_ptr<Front> front;
+  std::unique_ptr<DecisionEngine> front;
   std::vector<ServerEntry> entries;
   int next = 0;
 
-  explicit Scene(const Given &changes = {}, int servers = 3) {
-    Given given = plain_given();
+  explicit Scene(const DecisionSettings &changes = {}, int servers = 3) {
+    DecisionSettings given = plain_given();
     for (const auto &[name, value] : changes) given[name] = value;
-    front = make_front(given, 7, 100, heard);
+    front = make_decision_engine(given, 7, 100, heard);
     at(100);
     for (int s = 0; s < servers; ++s) {
-      entries.push_back({s, static_cast<std::uint64_t>(1000 + s), 0, 0, s, Standing::active, 4, 0});
+      entries.push_back({s, static_cast<std::uint64_t>(1000 + s), 0, 0, s, ServerStatus::active, 4, 0});
     }
-    front->list_changed(ListKind::held, entries);
+    front->server_list_updated(ListUpdateKind::initial, entries);
     settle(); // a first play handed over: this front did not come back from a restart
   }
   void settle() {
@@ -97,21 +97,21 @@
     front->allocation_ended(next++, 0, Outcome::done, true, {});
     heard.lines.clear();
   }
-  void at(double t) { front->clock(t); }
-  static PlayTerms terms(int product, int title = 0) {
-    PlayTerms t;
-    t.product = product, t.title = title, t.cells = 3, t.best_rung = 3, t.viewer = 42;
+  void at(double t) { front->set_time(t); }
+  static PlayRequest terms(int product, int title = 0) {
+    PlayRequest t;
+    t.product = product, t.title = title, t.cell_count = 3, t.max_rung = 3, t.viewer = 42;
     return t;
   }
   int ask(int product = 0, int title = 0) {
-    front->play_asked(next, terms(product, title));
+    front->play_requested(next, terms(product, title));
     return next++;
   }
-  int ask_of(const PlayTerms &t) {
-    front->play_asked(next, t);
+  int ask_of(const PlayRequest &t) {
+    front->play_requested(next, t);
     return next++;
   }
-  void tell(int play, double asked) { front->note_on_play(play, NoteKind::link_asked, asked); }
+  void tell(int play, double asked) { front->feedback_received(play, FeedbackKind::link_demand, asked); }
 };
 
 } // namespace snowshore::testing
--- a/tests/hints/test_hints.cpp
+++ b/tests/hints/test_hints.cpp
@@ -44,13 +44,13 @@
 
 TEST_CASE("CMSD: load of the nearest server, round trip, nonsense passed over") {
   CmsdLoad load;
-  load.link = 0.7254, load.streams = 12, load.duress = true;
+  load.link_demand = 0.7254, load.streams = 12, load.duress = true;
   CmsdLoad back = read_cmsd("\"far\";com.snowshore-link=9, " + write_cmsd("near \"1\"\r\n", load));
-  CHECK(back.link == 0.725);
+  CHECK(back.link_demand == 0.725);
   CHECK(back.streams == 12);
   CHECK(back.duress);
-  CHECK(!back.uplink);
+  CHECK(!back.uplink_demand);
   CHECK(read_cmsd("\"s\";com.snowshore-link=full;com.snowshore-uplink=-1").malformed == 2);
   CHECK(read_cmsd("\"s\";com.snowshore-link=0.5;;").malformed == 1);
-  CHECK(!read_cmsd("(").link);
+  CHECK(!read_cmsd("(").link_demand);
 }
--- a/tests/management/rig.h
+++ b/tests/management/rig.h
@@ -12,24 +12,24 @@
   std::function<void()> before_check, before_change, after_change;
   std::size_t open_plays = 0; // of the record it runs with
   int changes = 0, drained = 0;
-  site::FrontState now;
-  std::optional<std::string> refusal_of(const site::FrontRecord &, bool) override {
+  site::FrontSnapshot now;
+  std::optional<std::string> refusal_of(const site::FrontConfig &, bool) override {
     if (before_check) before_check();
     std::lock_guard lock(mutex);
     return refuses.empty() ? std::nullopt : std::optional(refuses);
   }
-  std::optional<std::string> change(const site::FrontRecord &next, bool with_drain) override {
+  std::optional<std::string> change(const site::FrontConfig &next, bool with_drain) override {
     if (before_change) before_change();
     {
       std::lock_guard lock(mutex);
       if (!fails.empty()) return fails;
-      open_plays = next.limits.open_plays;
+      open_plays = next.limits.max_open_plays;
       ++changes, drained += with_drain;
     }
     if (after_change) after_change();
     return std::nullopt;
   }
-  site::FrontState state() override {
+  site::FrontSnapshot state() override {
     std::lock_guard lock(mutex);
     return now;
   }
@@ -42,7 +42,7 @@
   explicit Rig(const std::string &folder, const std::string &more = "", std::size_t history = 1000)
       : store(folder, history), manager(built_in(), store, history, "test") {
     auto record = manager.start(front_record(more));
-    front.open_plays = record.limits.open_plays;
+    front.open_plays = record.limits.max_open_plays;
     front.now.service = "serving", front.now.boot = "b";
     manager.attach(&front);
   }
--- a/tests/management/test_service.cpp
+++ b/tests/management/test_service.cpp
@@ -65,7 +65,7 @@
   std::lock_guard lock(front.mutex);
   front.now.servers.clear();
   for (int s = 0; s < servers; ++s) {
-    front.now.servers.push_back({"s" + std::to_string(s), Standing::active, {}});
+    front.now.servers.push_back({"s" + std::to_string(s), ServerStatus::active, {}});
     front.now.servers.back().view = {s % 3, s, false, true, 0.5, 1, 0.25, 2};
   }
 }
--- a/tests/model/front_text.h
+++ b/tests/model/front_text.h
@@ -15,9 +15,9 @@
 rules: {warm_up: "12s", cold_share: 0.5, fall_multiple: 2, fall_span: "2s"}
 )";
 
-inline site::FrontRecord front_record(const std::string &more = "") {
+inline site::FrontConfig front_record(const std::string &more = "") {
   records::Source files[] = {{"front.cue", kFrontText}, {"more.cue", more}};
-  return site::read_front(files);
+  return site::parse_front_config(files);
 }
 
 inline const model::Model &built_in() {
--- a/tests/model/test_model.cpp
+++ b/tests/model/test_model.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-site::FrontRecord read(const std::string &text) {
+site::FrontConfig read(const std::string &text) {
   records::Source file{"test.cue", text};
-  return site::read_front({&file, 1});
+  return site::parse_front_config({&file, 1});
 }
 
 Edit update(const char *path, Json value) { return {Edit::Kind::update, parse_path(path), std::move(value)}; }
@@ -27,18 +27,18 @@
   return found.size() == 1 ? found[0].value.dump() : std::to_string(found.size()) + " leaves";
 }
 
-void same_values(const site::FrontRecord &a, const site::FrontRecord &b) {
-  REQUIRE(a.given.size() == b.given.size());
-  for (const auto &[name, value] : a.given) {
+void same_values(const site::FrontConfig &a, const site::FrontConfig &b) {
+  REQUIRE(a.decision_settings.size() == b.decision_settings.size());
+  for (const auto &[name, value] : a.decision_settings) {
     CAPTURE(name);
-    std::string other = b.given.at(name);
+    std::string other = b.decision_settings.at(name);
     if (value == other) continue;
     for (std::size_t i = 0, j = 0; i < value.size(); i = value.find(',', i) + 1, j = other.find(',', j) + 1) {
       CHECK(std::stod(value.substr(i)) == Approx(std::stod(other.substr(j))).epsilon(1e-9));
       if (value.find(',', i) == std::string::npos) break;
     }
   }
-  CHECK(a.limits.open_plays == b.limits.open_plays);
+  CHECK(a.limits.max_open_plays == b.limits.max_open_plays);
   CHECK(a.limits.players.idle_time == Approx(b.limits.players.idle_time));
 }
 
@@ -97,9 +97,9 @@
             "], may_probe: " + (pick(2) ? "true" : "false") + "}\nseed: " + std::to_string(pick(1 << 30)) +
             "\nlimits: {idle_time: " + time() + ", open_plays: " + std::to_string(1 + pick(99999)) + "}\n";
     CAPTURE(text);
-    site::FrontRecord record = read(text);
+    site::FrontConfig record = read(text);
     std::string document = built_in().document_of(record.record);
-    site::FrontRecord back = read(built_in().record_of(document));
+    site::FrontConfig back = read(built_in().record_of(document));
     CHECK(built_in().document_of(back.record) == document);
     same_values(record, back);
     CHECK(back.list_file == record.list_file);
--- a/tests/platform/scene.h
+++ b/tests/platform/scene.h
@@ -129,7 +129,7 @@
         {"cursor", 1},
         {"cmds", {{{"cursor", 1}, {"nodes", {{"rev", 1}, {"all", true}, {"targets", targets}}}}}}};
     if (adapt) adapt(config);
-    front = std::make_unique<platform::PlatformFront>(io, platform::read_boot(config.dump()), log);
+    front = std::make_unique<platform::PlatformFront>(io, platform::parse_node_config(config.dump()), log);
     run(0.25); // past the warm-up
   }
   static WrittenServer written(std::uint32_t id, const StandIn &at, unsigned state,
@@ -141,7 +141,7 @@
     auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
     while (!holds() && std::chrono::steady_clock::now() < end) {
       io.restart();
-      front->core().clock().turn();
+      front->core().clock().invalidate();
       io.run_one_for(std::chrono::milliseconds(2));
     }
     return holds();
@@ -150,10 +150,10 @@
     until([] { return false; }, seconds);
   }
   RawPeer &viewer() {
-    viewers.push_back(std::make_unique<RawPeer>(io, front->viewers().local()));
+    viewers.push_back(std::make_unique<RawPeer>(io, front->viewers().local_endpoint()));
     return *viewers.back();
   }
-  std::string next_tag() { return jsonlines::write_hex16(0xabc00000 + ++tags); }
+  std::string next_tag() { return jsonlines::format_hex16(0xabc00000 + ++tags); }
   static std::string start(const std::string &tag, const std::string &more = "",
                            const std::string &key = "7f3a9c21e0b4d655", const std::string &left = "1200") {
     return R"({"verb":"START","tag":")" + tag + R"(","opts":{"class":"clip","left":")" + left +
@@ -177,7 +177,7 @@
     }
     throw std::runtime_error("no server was asked");
   }
-  std::size_t open() { return front->core().plays().open(); }
+  std::size_t open() { return front->core().plays().open_count(); }
   // One play that stands: its server and session.
   std::pair<StandIn *, std::string> standing(RawPeer &peer) {
     std::string tag = next_tag();
--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Doors that note how much of the log was written when an answer left.
-struct NotingDoors : edge::PlayersDoor, edge::ServersDoor {
+struct NotingDoors : edge::PlayerGateway, edge::ServerGateway {
   std::string log_file;
   edge::Core *core = nullptr;
   std::vector<std::string> logged; // at each answer
@@ -23,19 +23,19 @@
     std::ifstream in(log_file);
     logged.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
   }
-  void answer(int, const edge::SetUpResult &) override { note(); }
-  void decline(int, double) override { note(); }
-  void fail(int) override { note(); }
-  void move(int) override {}
-  void ended(int, Outcome) override {}
+  void send_set_up_result(int, const edge::SetUpResult &) override { note(); }
+  void send_decline(int, double) override { note(); }
+  void send_failure(int) override { note(); }
+  void send_move(int) override {}
+  void send_end(int, Outcome) override {}
   void forget_play(int) override {}
-  void set_up(int play, const edge::Allocation &) override { allocated = play; }
-  void withdraw(int, std::string_view) override {}
-  void handed_over(int) override {}
-  void step(int, int) override {}
-  void end(int, std::string_view) override {}
-  void probe(int) override {}
-  void listed(int, const edge::ListedServer &) override {}
+  void start_set_up(int play, const edge::Allocation &) override { allocated = play; }
+  void cancel_set_up(int, std::string_view) override {}
+  void play_handed_over(int) override {}
+  void change_rung(int, int) override {}
+  void end_play(int, std::string_view) override {}
+  void probe_server(int) override {}
+  void update_server(int, const edge::ListedServer &) override {}
   void forget_server(int) override {}
 };
 
@@ -74,7 +74,7 @@
 // Answers stay unsent at the front: the peer's and the front's buffers are full.
 std::size_t fill(PlatformScene &scene, SlowPeer &peer) {
   std::size_t asked = 0;
-  while (scene.front->viewers().unsent() < 4096) {
+  while (scene.front->viewers().unsent_bytes() < 4096) {
     std::string all;
     for (int i = 0; i < 16; ++i, ++asked) all += echo();
     peer.say(all);
@@ -92,8 +92,8 @@
 void restart(PlatformScene &scene, const nlohmann::json &config) {
   scene.front.reset();
   scene.config = config;
-  scene.front =
-      std::make_unique<platform::PlatformFront>(scene.io, platform::read_boot(config.dump()), scene.log);
+  scene.front = std::make_unique<platform::PlatformFront>(
+      scene.io, platform::parse_node_config(config.dump()), scene.log);
   scene.run(0.25);
 }
 
@@ -102,7 +102,7 @@
 TEST_CASE("drain: an answer still unsent holds up the exit, and arrives whole") {
   PlatformScene scene(1);
   restart(scene, with_roomy_memory(scene.config));
-  SlowPeer peer(scene.io, scene.front->viewers().local());
+  SlowPeer peer(scene.io, scene.front->viewers().local_endpoint());
   std::size_t asked = fill(scene, peer);
   bool done = false;
   scene.front->drain([&] { done = true; });
@@ -120,7 +120,7 @@
 TEST_CASE("drain: a viewer that never reads holds it up, but not past the earliest kill") {
   PlatformScene scene(1);
   restart(scene, with_roomy_memory(scene.config));
-  SlowPeer peer(scene.io, scene.front->viewers().local());
+  SlowPeer peer(scene.io, scene.front->viewers().local_endpoint());
   fill(scene, peer);
   bool done = false;
   scene.front->drain([&] { done = true; });
@@ -135,13 +135,13 @@
   config["limits"]["sockets"] = 32;
   config["settings"]["family_info"]["link_unit_kb"] = 400000;
   restart(scene, config);
-  std::size_t room = platform::share_out(32, 48).viewers;
+  std::size_t room = platform::compute_resource_limits(32, 48).viewer_descriptors;
   std::vector<RawPeer *> held;
   for (std::size_t i = 0; i < room; ++i) { // every place is taken by an open request
     held.push_back(&scene.viewer());
     held.back()->say(PlatformScene::start(scene.next_tag()));
   }
-  REQUIRE(scene.until([&] { return scene.front->core().in_hand() == room; }));
+  REQUIRE(scene.until([&] { return scene.front->core().unanswered_plays() == room; }));
   bool done = false;
   scene.front->drain([&] { done = true; });
   scene.run(0.65);
@@ -169,14 +169,14 @@
 
 TEST_CASE("exit: bytes that cross it do not take the last answer with them") {
   PlatformScene scene(1);
-  SlowPeer peer(scene.io, scene.front->viewers().local());
+  SlowPeer peer(scene.io, scene.front->viewers().local_endpoint());
   bool done = false;
   scene.front->drain([&] { done = true; });
   peer.say(echo());
   REQUIRE(scene.until([&] { return scene.front->viewers().counters().tests == 1; }));
   // Its last answer lies unread at the viewer; the end of what is sent comes first, then what crosses it.
   asio::error_code failed;
-  REQUIRE(scene.until([&] { return done || !scene.front->viewers().listens(); }, 2));
+  REQUIRE(scene.until([&] { return done || !scene.front->viewers().is_listening(); }, 2));
   scene.run(0.02);
   peer.say(echo());
   REQUIRE(scene.until([&] { return done; }, 1));
@@ -200,7 +200,7 @@
     nlohmann::json next = two;
     next["channel"] = elsewhere;
     change(next);
-    bool is = scene.front->change(platform::read_boot(next.dump())).has_value();
+    bool is = scene.front->change(platform::parse_node_config(next.dump())).has_value();
     scene.run(0.1);
     return is && moved.links.empty(); // nothing of it is in force
   };
@@ -211,19 +211,19 @@
   CHECK(refused([](auto &next) { next["settings"]["report"]["names"] = {"cpu"}; }));
   nlohmann::json short_list = two;
   short_list["settings"]["family_info"]["rate_factor"] = {1.0};
-  CHECK_THROWS_AS(platform::read_boot(short_list.dump()), platform::BootError);
+  CHECK_THROWS_AS(platform::parse_node_config(short_list.dump()), platform::NodeConfigError);
 
   nlohmann::json next = two; // another time limit, advice and connect time: in the doors as in the module
   next["channel"] = elsewhere;
   next["settings"]["classes"][0]["deadline"] = 2.4;
   next["settings"]["limits"]["max_retry_after"] = 0.9;
-  REQUIRE_FALSE(scene.front->change(platform::read_boot(next.dump())).has_value());
+  REQUIRE_FALSE(scene.front->change(platform::parse_node_config(next.dump())).has_value());
   CHECK(scene.until([&] { return moved.links.size() == 1; }, 1));
   RawPeer &viewer = scene.viewer();
   std::string longer = scene.next_tag();
   viewer.say(PlatformScene::start(longer, "", "7f3a9c21e0b4d655", "2400"));
   CHECK(scene.until([&] { return PlatformScene::said(viewer, "STARTED", longer); }, 1));
-  scene.front->viewers().shut();
+  scene.front->viewers().stop_accepting();
   std::string tag = scene.next_tag();
   viewer.say(PlatformScene::start(tag));
   CHECK(
@@ -304,7 +304,7 @@
     std::string tag = scene.next_tag();
     RawServer::say(*scene.servers[0]->asked[0].link,
                    StandIn::request(tag, "TEARDOWN", {{"Reason", "cause=" + std::to_string(cause)}}));
-    REQUIRE(scene.until([&] { return scene.front->servers().counters().strangers == 1; }));
+    REQUIRE(scene.until([&] { return scene.front->servers().counters().unknown_sessions == 1; }));
     viewer.say(PlatformScene::start(tag, ";at:s-00000001", "7f3a9c21e0b4d655", "4294967"));
     REQUIRE(scene.until([&] { return scene.front->viewers().counters().handed_over == 1; }));
     CHECK(scene.until([&] { return scene.open() == 1; }, 1));
@@ -382,9 +382,9 @@
   char buffer[65536];
   asio::error_code error;
   while (std::size_t n = server.read_some(asio::buffer(buffer), error)) all.append(buffer, n);
-  CHECK(all.find("Session: " + given::write_hex16(1)) != std::string::npos);
-  CHECK(all.find("Session: " + given::write_hex16(last)) == std::string::npos);
-  CHECK(all.find("Session: " + given::write_hex16(last - 1)) == std::string::npos);
+  CHECK(all.find("Session: " + given::format_hex16(1)) != std::string::npos);
+  CHECK(all.find("Session: " + given::format_hex16(last)) == std::string::npos);
+  CHECK(all.find("Session: " + given::format_hex16(last - 1)) == std::string::npos);
 }
 
 TEST_CASE("names of the settings go through unchanged, whatever they hold") {
@@ -408,13 +408,13 @@
   viewer.say(line);
   REQUIRE(scene.until([&] { return PlatformScene::said(viewer, "STARTED", tag); }, 1));
   CHECK(scene.asked().tiers == std::vector<std::string>{"Foyer-Übersicht, large screen"});
-  CHECK(scene.front->core().terms().halls[0] == "north, high hall");
-  for (const auto &server : scene.front->core().list().servers) {
+  CHECK(scene.front->core().settings().halls[0] == "north, high hall");
+  for (const auto &server : scene.front->core().server_list().servers) {
     CHECK(server.hall == "north, high hall");
     CHECK(server.kind == "tall tower, old");
   }
   config["settings"]["classes"][0]["name"] = "two\r\nlines";
-  CHECK_THROWS_WITH(platform::read_boot(config.dump()),
+  CHECK_THROWS_WITH(platform::parse_node_config(config.dump()),
                     Catch::Matchers::StartsWith("settings.classes[0].name"));
 }
 
@@ -422,21 +422,22 @@
   for (std::string how : {"plays", "declined", "failed"}) {
     CAPTURE(how);
     PlatformScene scene(1, how == "failed" ? "unsafe" : "safe");
-    platform::Boot boot = platform::read_boot(scene.config.dump());
+    platform::NodeConfig boot = platform::parse_node_config(scene.config.dump());
     Folder folder;
     NotingDoors doors;
     doors.log_file = folder.name + "/log";
     telemetry::Log log(doors.log_file);
-    edge::Core core(scene.io, boot.core, log,
-                    std::make_unique<feed::Client>(scene.io, boot.channel, boot.places, boot.known, 1, log),
-                    doors, doors);
+    edge::Core core(
+        scene.io, boot.core, log,
+        std::make_unique<feed::Client>(scene.io, boot.channel, boot.places, boot.initial_list, 1, log), doors,
+        doors);
     core.start();
     REQUIRE(scene.until([&] { return core.has_list(); }));
     scene.run(0.25); // past the warm-up
-    PlayTerms terms;
-    terms.cells = 1, terms.best_rung = 3;
-    edge::PlayRef ref = core.take(7, "7f3a9c21e0b4d655");
-    core.ask(ref.index, terms);
+    PlayRequest terms;
+    terms.cell_count = 1, terms.max_rung = 3;
+    edge::PlayRef ref = core.add_play(7, "7f3a9c21e0b4d655");
+    core.submit_play(ref.index, terms);
     REQUIRE(doors.allocated == ref.index);
     edge::SetUpResult result;
     result.started = how == "plays";
--- a/tests/platform/test_many_servers.cpp
+++ b/tests/platform/test_many_servers.cpp
@@ -78,7 +78,7 @@
     "[many]") {
   constexpr int kHolding = 14;
   constexpr unsigned kSockets = 32;
-  REQUIRE(platform::share_out(kSockets, 48).servers < kHolding);
+  REQUIRE(platform::compute_resource_limits(kSockets, 48).server_descriptors < kHolding);
   PlatformScene scene(kHolding, "safe", [&](nlohmann::json &config) {
     config["limits"]["sockets"] = kSockets;
     config["settings"]["family_info"]["cells"] = kHolding;
@@ -95,7 +95,8 @@
     CHECK(scene.until([&] { return PlatformScene::said(peer, "STARTED", tags.back()); }, 1.5));
     scene.run(0.3);
   }
-  CHECK(scene.front->servers().connections() <= platform::share_out(kSockets, 48).servers);
+  CHECK(scene.front->servers().connections() <=
+        platform::compute_resource_limits(kSockets, 48).server_descriptors);
   // Each server says its release on a connection that is open, or on the next that opens.
   std::vector<bool> told(kHolding, false);
   auto all_told = [&] {
@@ -151,7 +152,7 @@
     int cell = 0;
     for (auto &target : config["known"]["cmds"][0]["nodes"]["targets"]) target["pod_group"] = cell++;
   });
-  std::size_t room = platform::share_out(kSockets, 48).servers;
+  std::size_t room = platform::compute_resource_limits(kSockets, 48).server_descriptors;
   RawPeer &peer = scene.viewer();
   auto ask = [&](std::size_t home) {
     std::string tag = scene.next_tag(), line = PlatformScene::start(tag);
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -227,7 +227,7 @@
     if (how != "died") {
       REQUIRE(scene.until([&] { return scene.channel.links.size() == 1; }));
       std::uint64_t started =
-          how == "restarted" ? static_cast<std::uint64_t>(scene.front->core().clock().exact() * 1000) : 0;
+          how == "restarted" ? static_cast<std::uint64_t>(scene.front->core().clock().read_now() * 1000) : 0;
       scene.tell(frame(2, 2, record(scene.written(1, *server, how.starts_with("left") ? 2 : 0, started))));
     }
     CHECK(scene.until([&] { return PlatformScene::said(viewer, "FINISH", tag); }, 6));
@@ -237,35 +237,36 @@
 
 TEST_CASE("whether a server lives is judged by its connections alone") {
   using V = platform::Liveness::Verdict;
-  platform::LivenessTerms terms;
+  platform::LivenessSettings terms;
   platform::Liveness quiet(terms);
-  quiet.heard(10);
-  CHECK(quiet.judge(12, true) == V::well);
-  CHECK(quiet.judge(12.6, true) == V::ask);
-  CHECK(quiet.judge(12.7, true) == V::well); // asked already
-  quiet.not_up(12.9), quiet.not_up(13.4);
-  CHECK(quiet.judge(13.5, true) == V::ask);
-  CHECK(quiet.judge(14.1, true) == V::lost); // well within the 8 s
+  quiet.data_received(10);
+  CHECK(quiet.evaluate(12, true) == V::alive);
+  CHECK(quiet.evaluate(12.6, true) == V::probe);
+  CHECK(quiet.evaluate(12.7, true) == V::alive); // asked already
+  quiet.connection_timed_out(12.9), quiet.connection_timed_out(13.4);
+  CHECK(quiet.evaluate(13.5, true) == V::probe);
+  CHECK(quiet.evaluate(14.1, true) == V::lost); // well within the 8 s
   platform::Liveness back(terms);
-  back.heard(10), back.not_up(12.9), back.not_up(13.4), back.heard(13.6);
-  CHECK(back.judge(14.1, true) == V::well);
+  back.data_received(10), back.connection_timed_out(12.9), back.connection_timed_out(13.4),
+      back.data_received(13.6);
+  CHECK(back.evaluate(14.1, true) == V::alive);
   platform::Liveness refusing(terms);
-  refusing.heard(10), refusing.refused(10.1);
-  CHECK(refusing.judge(10.1, false) != V::lost); // one refusal is no proof
-  refusing.refused(10.3);
-  CHECK(refusing.judge(10.3, true) != V::lost); // another connection is up
-  CHECK(refusing.judge(10.3, false) == V::lost);
+  refusing.data_received(10), refusing.connection_refused(10.1);
+  CHECK(refusing.evaluate(10.1, false) != V::lost); // one refusal is no proof
+  refusing.connection_refused(10.3);
+  CHECK(refusing.evaluate(10.3, true) != V::lost); // another connection is up
+  CHECK(refusing.evaluate(10.3, false) == V::lost);
   platform::Liveness left(terms); // left the list: its address may be another's, so it is not asked
-  left.heard(10);
-  CHECK(left.judge(13.9, true, false) == V::well);
-  CHECK(left.judge(14.1, true, false) == V::lost);
-  CHECK(left.judge(13.9, false, false) == V::lost);
-  terms.speaks_every = 4;
-  CHECK(left.judge(15.9, true, false) == V::well);
-  CHECK(left.judge(16.1, true, false) == V::lost);
+  left.data_received(10);
+  CHECK(left.evaluate(13.9, true, false) == V::alive);
+  CHECK(left.evaluate(14.1, true, false) == V::lost);
+  CHECK(left.evaluate(13.9, false, false) == V::lost);
+  terms.message_interval = 4;
+  CHECK(left.evaluate(15.9, true, false) == V::alive);
+  CHECK(left.evaluate(16.1, true, false) == V::lost);
   platform::Liveness hanging(terms); // its machine answers, it says nothing
-  hanging.heard(10);
-  CHECK(hanging.judge(30, true) == V::ask);
+  hanging.data_received(10);
+  CHECK(hanging.evaluate(30, true) == V::probe);
 }
 
 TEST_CASE("the planned end: requests that still come are served, tests fail, then all is answered") {
@@ -311,28 +312,28 @@
     bad[nlohmann::json::json_pointer(row.path)] = row.value;
     std::string path = std::string(row.path).substr(1);
     std::ranges::replace(path, '/', '.');
-    CHECK_THROWS_WITH(platform::read_boot(bad.dump()), Catch::Matchers::StartsWith(path));
+    CHECK_THROWS_WITH(platform::parse_node_config(bad.dump()), Catch::Matchers::StartsWith(path));
   }
-  CHECK_THROWS_AS(platform::read_boot("{"), platform::BootError);
+  CHECK_THROWS_AS(platform::parse_node_config("{"), platform::NodeConfigError);
   nlohmann::json other = scene.config;
   other["settings"]["skus"] = {"k", "l"};
-  CHECK(scene.front->change(platform::read_boot(other.dump())));
+  CHECK(scene.front->change(platform::parse_node_config(other.dump())));
   RawServer moved(scene.io);
   RawPeer &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   other = scene.config;
   other["channel"] = "127.0.0.1:" + std::to_string(moved.acceptor.local_endpoint().port());
-  CHECK_FALSE(scene.front->change(platform::read_boot(other.dump())));
+  CHECK_FALSE(scene.front->change(platform::parse_node_config(other.dump())));
   CHECK(scene.until([&] { return moved.links.size() == 1; }, 1));
   CHECK(scene.open() == 1); // plays are untouched
 }
 
 TEST_CASE("the shares of descriptors hold within the limit, whatever it is") {
   for (std::size_t sockets : {32u, 100u, 256u, 384u, 1024u}) {
-    auto shares = platform::share_out(sockets, 32);
-    CHECK(shares.own + shares.viewers + shares.servers <= sockets);
-    CHECK(shares.viewers >= sockets / 3);
-    CHECK(shares.own >= 8);
+    auto shares = platform::compute_resource_limits(sockets, 32);
+    CHECK(shares.own_descriptors + shares.viewer_descriptors + shares.server_descriptors <= sockets);
+    CHECK(shares.viewer_descriptors >= sockets / 3);
+    CHECK(shares.own_descriptors >= 8);
   }
 }
 
@@ -341,7 +342,7 @@
   PlatformScene scene(2);
   std::vector<std::unique_ptr<RawPeer>> silent;
   for (int i = 0; i < 300; ++i)
-    silent.push_back(std::make_unique<RawPeer>(scene.io, scene.front->viewers().local()));
+    silent.push_back(std::make_unique<RawPeer>(scene.io, scene.front->viewers().local_endpoint()));
   RawPeer &hasty = scene.viewer();
   std::string all;
   for (int i = 0; i < 300; ++i) {
@@ -359,7 +360,7 @@
     REQUIRE(scene.until([&] { return scene.open() == 1; }, 1));
     next.socket.close();
   }
-  CHECK(scene.front->core().plays().places() < 400);
+  CHECK(scene.front->core().plays().capacity() < 400);
   CHECK(scene.until([&] { return std::ranges::all_of(silent, [](auto &one) { return one->closed; }); }, 4));
 }
 
@@ -377,8 +378,8 @@
   PlatformScene scene(12);
   scene.config["limits"]["sockets"] = 32;
   scene.front.reset();
-  scene.front = std::make_unique<platform::PlatformFront>(scene.io, platform::read_boot(scene.config.dump()),
-                                                          scene.log);
+  scene.front = std::make_unique<platform::PlatformFront>(
+      scene.io, platform::parse_node_config(scene.config.dump()), scene.log);
   scene.run(0.25);
   RawPeer &viewer = scene.viewer();
   int plays = 0;
@@ -387,7 +388,8 @@
     viewer.say(PlatformScene::start(tag));
     REQUIRE(scene.until([&] { return viewer.heard.find(tag) != std::string::npos; }, 2));
     plays += PlatformScene::said(viewer, "STARTED", tag);
-    CHECK(scene.front->servers().connections() <= platform::share_out(32, 48).servers);
+    CHECK(scene.front->servers().connections() <=
+          platform::compute_resource_limits(32, 48).server_descriptors);
   }
   CHECK(plays >= 9); // servers past the share of descriptors are not used
 }
@@ -417,7 +419,7 @@
   std::size_t before = 0, answered = 0;
   for (int round = 0; round < 1000; ++round) {
     if (round == 500) before = resident_kb();
-    RawPeer peer(scene.io, scene.front->viewers().local());
+    RawPeer peer(scene.io, scene.front->viewers().local_endpoint());
     std::string all;
     std::vector<std::string> tags;
     for (int i = 0; i < 100; ++i) {
@@ -437,7 +439,7 @@
     scene.until([&] { return peer.closed; }, 1);
   }
   CHECK(answered == 100000);
-  CHECK(scene.front->core().plays().places() <= 200);
+  CHECK(scene.front->core().plays().capacity() <= 200);
   std::size_t grown = resident_kb() - std::min(before, resident_kb());
   CAPTURE(before, grown);
   CHECK(grown < 2048); // over the second half; a play left behind takes some 600 bytes, 30 MB of them
--- a/tests/test_cold_fleet.cpp
+++ b/tests/test_cold_fleet.cpp
@@ -51,14 +51,14 @@
 };
 
 // One front and the sockets under it: what it allocates on the cold server leaves when its connection is up.
-struct Member : Answers {
+struct Member : DecisionHandler {
   struct Due {
     double at;
     int play;
     bool start;
     bool operator>(const Due &other) const { return at > other.at; }
   };
-  std::unique_ptr<Front> front;
+  std::unique_ptr<DecisionEngine> front;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
   std::vector<int> unused;
   std::vector<Arrival> *arrivals = nullptr;
@@ -67,23 +67,23 @@
   int plays = 0;
 
   void set_rung(int, int) override {}
-  void allocate(int play, int server, double) override {
+  void start_allocation(int play, int server, double) override {
     if (server != 0) return due.push({now + 0.1, play, true});
     if (up_at < 0) up_at = now + 0.002 + up_late;
     double arrival = std::max(now + 0.001, up_at);
     arrivals->push_back({arrival, told});
     due.push({arrival + 0.1, play, true});
   }
-  void decline(int, double) override {}
-  void fail(int) override {}
-  void move(int) override {}
-  void recall(int, int) override {}
-  void forget(int play) override { unused.push_back(play); }
+  void decline_play(int, double) override {}
+  void fail_play(int) override {}
+  void move_play(int) override {}
+  void recall_allocation(int, int) override {}
+  void forget_play(int play) override { unused.push_back(play); }
   void forget_server(int) override {}
-  void probe(int) override {}
-  void follow_list() override {}
+  void probe_server(int) override {}
+  void request_server_list() override {}
   void set_timer(double, int) override {}
-  void log(const std::string &) override {}
+  void log_message(const std::string &) override {}
 
   void ask() {
     int play = plays;
@@ -91,14 +91,14 @@
       ++plays;
     else
       play = unused.back(), unused.pop_back();
-    front->play_asked(play, Scene::terms(0));
+    front->play_requested(play, Scene::terms(0));
   }
   void answer() {
     while (!due.empty() && due.top().at <= now) {
       Due next = due.top();
       due.pop();
       if (next.start) {
-        front->play_starts(next.play, 0, 0.1);
+        front->play_started(next.play, 0, 0.1);
         due.push({now + 2, next.play, false});
       } else {
         front->allocation_ended(next.play, 0, Outcome::done, true, {});
@@ -110,7 +110,7 @@
 std::vector<Arrival> play(const Fleet &fleet) {
   std::mt19937 random(fleet.seed);
   auto part = [&] { return static_cast<double>(random()) / 4294967296.0; };
-  Given given = plain_given();
+  DecisionSettings given = plain_given();
   given["fronts"] = std::to_string(fleet.fronts);
   given["kind_places"] = std::to_string(fleet.places);
   given["warm_up"] = std::to_string(fleet.warm_up);
@@ -121,20 +121,21 @@
 
   std::vector<ServerEntry> others;
   for (int s = 1; s < 3 && fleet.others_full; ++s)
-    others.push_back({s, static_cast<std::uint64_t>(1000 + s), 0, 0, s, Standing::active, 4, 0});
-  ServerEntry cold{0, 1000, 0, 0, 0, Standing::active, 4, 0};
+    others.push_back({s, static_cast<std::uint64_t>(1000 + s), 0, 0, s, ServerStatus::active, 4, 0});
+  ServerEntry cold{0, 1000, 0, 0, 0, ServerStatus::active, 4, 0};
   std::vector<Arrival> arrivals;
   std::vector<Member> members(static_cast<std::size_t>(fleet.fronts));
   auto open = [&](Member &m, bool again) {
     int index = static_cast<int>(&m - members.data());
     given["front_index"] = std::to_string(index);
     m.due = {}, m.unused.clear(), m.plays = 0, m.up_at = -1;
-    m.front = make_front(given, fleet.seed * 1000 + static_cast<unsigned>(index), m.now + m.skew, m);
-    m.front->clock(m.now + m.skew);
+    m.front =
+        make_decision_engine(given, fleet.seed * 1000 + static_cast<unsigned>(index), m.now + m.skew, m);
+    m.front->set_time(m.now + m.skew);
     std::vector<ServerEntry> list = others;
     if (fleet.in_place || m.told) list.push_back(cold);
-    if (m.told) list.back().started = kStart;
-    m.front->list_changed(ListKind::held, list);
+    if (m.told) list.back().started_at = kStart;
+    m.front->server_list_updated(ListUpdateKind::initial, list);
     if (again) return;
     m.front->play_handed_over(m.plays, 1, Scene::terms(0));
     m.front->allocation_ended(m.plays++, 0, Outcome::done, true, {});
@@ -154,17 +155,17 @@
     double now = kStart + tick * kTick;
     for (Member &m : members) {
       m.now = now;
-      m.front->clock(now + m.skew);
+      m.front->set_time(now + m.skew);
       if (now >= m.restart_at) m.restart_at = INFINITY, open(m, true);
       if (!m.told && now >= m.told_at) {
         m.told = true;
         ServerEntry news = cold;
-        news.started = kStart;
-        m.front->list_changed(ListKind::changes, std::span(&news, 1));
+        news.started_at = kStart;
+        m.front->server_list_updated(ListUpdateKind::changes, std::span(&news, 1));
       }
       if (tick % 200 == 0) {
         LoadReport full, idle;
-        full.link = 1.5, idle.link = 0.01;
+        full.link_demand = 1.5, idle.link_demand = 0.01;
         for (const ServerEntry &other : others) m.front->probe_answered(other.server, Outcome::done, full);
         if (m.told || fleet.in_place) m.front->probe_answered(0, Outcome::done, idle);
       }
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -75,7 +75,7 @@
   WireLine line;
   line.parse("OPEN_INSTANCE\ti=3\trandom_seed=7\tgroup_size=2\tclasses.0.on_time=0.8\treport.names=active,"
              "cpu,x1\tother=5");
-  Given given = plain_settings(line);
+  DecisionSettings given = plain_settings(line);
   CHECK(given["fronts"] == "2");
   CHECK(given["product.0.first_frame_target"] == "0.8");
   CHECK(given["load_fields"] == "streams,link_share,uplink");
