--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -7,7 +7,7 @@
 
 namespace snowshore::edge {
 
-using telemetry::span;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -44,7 +44,7 @@
                    done = std::move(done)](const http::Result &result) {
     if (alive.expired()) return;
     SetUpResult out;
-    out.took = result.duration;
+    out.duration = result.duration;
     switch (result.end_reason) {
     case http::EndReason::unreachable:
     case http::EndReason::no_capacity:
@@ -198,7 +198,7 @@
 
 void Channel::reopen_later() {
   become(Stream::waiting);
-  reopen_timer_.expires_after(span(pauses_.next()));
+  reopen_timer_.expires_after(to_timer_duration(pauses_.next()));
   reopen_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (!error && !alive.expired() && stream_ == Stream::waiting) open_stream();
   });
@@ -207,7 +207,7 @@
 // A stream that says nothing is no better than none: it is opened anew, and after lost_after its plays have
 // ended.
 void Channel::watch() {
-  watch_timer_.expires_after(span(std::max(0.05, times_.silence / 4)));
+  watch_timer_.expires_after(to_timer_duration(std::max(0.05, times_.silence / 4)));
   watch_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired() || stream_ == Stream::closed) return;
     // A front that stood still itself has not listened: what servers said meanwhile is read first.
--- a/src/management/access.cpp
+++ b/src/management/access.cpp
@@ -59,14 +59,14 @@
   return client;
 }
 
-bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementTerms &terms) {
+bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementSettings &terms) {
   if (client.plaintext) return true;
   auto listed = [&](const std::vector<std::string> &allowed) {
     return std::ranges::any_of(client.names, [&](const std::string &name) {
       return std::ranges::find(allowed, name) != allowed.end();
     });
   };
-  return listed(terms.setters) || (right == Permission::read && listed(terms.readers));
+  return listed(terms.writers) || (right == Permission::read && listed(terms.readers));
 }
 
 } // namespace snowshore::management
--- a/src/management/access.h
+++ b/src/management/access.h
@@ -20,7 +20,7 @@
 
 ClientIdentity identify_client(const grpc::ServerContextBase &context, bool plaintext);
 // Whether it may; a plaintext client on loopback may all.
-bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementTerms &terms);
+bool is_allowed(const ClientIdentity &client, Permission right, const site::ManagementSettings &terms);
 
 // A certificate's or key's text; throws std::runtime_error naming a file that holds none.
 std::string read_pem_file(const std::string &file);
--- a/src/management/client.h
+++ b/src/management/client.h
@@ -66,9 +66,11 @@
   ~Watch(); // ends the stream
 
   std::map<std::string, model::Json> view() const;
-  std::uint64_t revision() const { return revision_; } // had whole; 0: none yet
-  std::uint64_t streams_started() const { return streams_; }   // begun so far
-  std::uint64_t streams_resumed() const { return resumed_; } // of them, those that went on from where the last ended
+  std::uint64_t revision() const { return revision_; }       // had whole; 0: none yet
+  std::uint64_t streams_started() const { return streams_; } // begun so far
+  std::uint64_t streams_resumed() const {
+    return resumed_;
+  } // of them, those that went on from where the last ended
 
  private:
   struct Run;
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -11,11 +11,11 @@
 
 double whole_seconds(double age) { return std::floor(age); } // ages change always; a second is news enough
 
-const char *name_of(Standing standing) {
-  return standing == Standing::active ? "active" : standing == Standing::leaving ? "leaving" : "left";
+const char *name_of(ServerStatus standing) {
+  return standing == ServerStatus::active ? "active" : standing == ServerStatus::leaving ? "leaving" : "left";
 }
 
-Json json_of(const site::FrontState &state) {
+Json json_of(const site::FrontSnapshot &state) {
   Json out;
   out["build"] = {{"boot", state.boot}, {"uptime", format_decimal(whole_seconds(state.uptime))}};
   out["service"] = state.service;
@@ -28,17 +28,17 @@
     out["answers"].push_back({{"outcome", name}, {"count", std::to_string(count)}});
   for (const auto &server : state.servers) {
     Json one{{"id", server.id},
-             {"standing", name_of(server.standing)},
+             {"standing", name_of(server.status)},
              {"plays", server.view.plays},
-             {"strikes", server.view.strikes},
+             {"strikes", server.view.consecutive_failures},
              {"avoided", server.view.avoided},
              {"may_be_cold", server.view.may_be_cold}};
     if (server.view.link_age >= 0) {
-      one["link_use"] = format_decimal(server.view.link_use);
+      one["link_use"] = format_decimal(server.view.link_demand);
       one["link_age"] = format_decimal(whole_seconds(server.view.link_age));
     }
     if (server.view.uplink_age >= 0) {
-      one["uplink_use"] = format_decimal(server.view.uplink_use);
+      one["uplink_use"] = format_decimal(server.view.uplink_demand);
       one["uplink_age"] = format_decimal(whole_seconds(server.view.uplink_age));
     }
     out["servers"].push_back(std::move(one));
@@ -52,12 +52,12 @@
                              std::string version)
     : model_(model), store_(store), version_(std::move(version)), transactions_(store, *this, history) {}
 
-double ConfigManager::now() const { return clock_.exact() + ahead_; }
+double ConfigManager::now() const { return clock_.read_now() + ahead_; }
 
 const ConfigManager::Checked &ConfigManager::checked(const std::string &document) {
   if (checked_ && checked_->document == document) return *checked_;
   records::Source file{"(configuration)", model_.to_record_text(document)};
-  Checked out{document, site::read_front({&file, 1}), false, {}};
+  Checked out{document, site::parse_front_config({&file, 1}), false, {}};
   if (!running_.empty()) {
     for (const model::Difference &one : model_.diff(running_, document)) {
       out.drained = out.drained || one.takes_effect == model::TakesEffect::drained;
@@ -98,12 +98,12 @@
 
 // ---- Before the front runs.
 
-site::FrontRecord ConfigManager::start(const site::FrontRecord &from_files) {
+site::FrontConfig ConfigManager::start(const site::FrontConfig &from_files) {
   std::lock_guard lock(sets_);
   std::string first = model_.to_document(from_files.record);
   auto revisions = store_.read_revisions();
   if (!revisions.empty())
-    ahead_ = std::max(0.0, revisions.back().committed_at - clock_.exact()); // it was set back
+    ahead_ = std::max(0.0, revisions.back().committed_at - clock_.read_now()); // it was set back
   ChangeResult answer = transactions_.recover(first, now());
   if (answer.error != ChangeError::none)
     throw std::runtime_error("the configuration in force: " + answer.message);
@@ -136,7 +136,7 @@
 // ---- Sets.
 
 template <class F> ChangeResult ConfigManager::run_change(F call) {
-  std::size_t room = running_config()->terms.sets_waiting;
+  std::size_t room = running_config()->terms.max_pending_sets;
   struct Waiting {
     std::atomic<int> &count;
     explicit Waiting(std::atomic<int> &c) : count(c) { ++count; }
@@ -200,10 +200,10 @@
   return run_change([&] { return transactions_.roll_back(revision, user, now()); });
 }
 
-ChangeResult ConfigManager::apply_files(const site::FrontRecord &from_files, const std::string &user) {
+ChangeResult ConfigManager::apply_files(const site::FrontConfig &from_files, const std::string &user) {
   return run_change([&] {
     std::string next = model_.to_document(from_files.record);
-    ChangeResult answer{ChangeError::none, "", transactions_.current().number};
+    ChangeResult answer{ChangeError ::none, "", transactions_.current().number};
     if (next != transactions_.current().document)
       answer = transactions_.set({next, user, "the record's files were read again", {}, 0, ""}, now());
     if (answer.error == ChangeError::none) store_.put_text("files", next);
@@ -284,7 +284,7 @@
 std::string ConfigManager::state_json() {
   std::lock_guard lock(state_mutex_);
   auto running = running_config();
-  if (now() - state_at_ < running->terms.snapshot_every && !state_.empty()) return state_;
+  if (now() - state_at_ < running->terms.snapshot_interval && !state_.empty()) return state_;
   FrontControl *front = front_;
   if (!front) throw FrontStopping();
   Json state = json_of(front->state());
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -112,7 +112,7 @@
   bool has_state_ = false;
 };
 
-std::shared_ptr<grpc::ServerCredentials> credentials(const site::ManagementTerms &terms) {
+std::shared_ptr<grpc::ServerCredentials> credentials(const site::ManagementSettings &terms) {
   if (terms.plaintext) return grpc::InsecureServerCredentials();
   for (const std::string *name : {&terms.certificate, &terms.key, &terms.client_authority})
     read_pem_file(*name);
@@ -130,7 +130,7 @@
 
 class Service::Gnmi final : public gnmi::gNMI::Service {
  public:
-  Gnmi(ConfigManager &manager, const site::ManagementTerms &terms)
+  Gnmi(ConfigManager &manager, const site::ManagementSettings &terms)
       : manager_(manager), plaintext_(terms.plaintext) {
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota;
@@ -277,10 +277,10 @@
     ClientIdentity client;
     if (Status refused = allow(*context, Permission::read, &client); !refused.ok()) return refused;
     Active active(*this, *context, client);
-    if (manager_.active_streams() > manager_.running_config()->terms.streams)
-      return {StatusCode::RESOURCE_EXHAUSTED, "no more streams than " +
-                                                  std::to_string(manager_.running_config()->terms.streams) +
-                                                  " at a time"};
+    if (manager_.active_streams() > manager_.running_config()->terms.max_streams)
+      return {StatusCode::RESOURCE_EXHAUSTED,
+              "no more streams than " + std::to_string(manager_.running_config()->terms.max_streams) +
+                  " at a time"};
     gnmi::SubscribeRequest request;
     if (!stream->Read(&request) || !request.has_subscribe())
       return {StatusCode::INVALID_ARGUMENT, "a subscription is due first"};
@@ -357,7 +357,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       manager_.roll_back_expired();
       auto running = manager_.running_config();
-      double behind = running->terms.behind_time;
+      double behind = running->terms.max_lag;
       std::lock_guard lock(active_mutex_);
       for (Active *one : active_) {
         if (one->cut.load() != Active::Cut::none) continue;
@@ -527,7 +527,7 @@
   std::jthread keeper_;
 };
 
-Service::Service(ConfigManager &manager, const site::ManagementTerms &terms)
+Service::Service(ConfigManager &manager, const site::ManagementSettings &terms)
     : gnmi_(std::make_unique<Gnmi>(manager, terms)) {}
 Service::~Service() = default;
 int Service::port() const { return gnmi_->port(); }
