--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,3 +1,4 @@
+// Connections of the HTTP client.
 #include "http/client.h"
 
 #include <algorithm>
@@ -9,19 +10,24 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr double kForever = 1e9;
-constexpr auto kStoodStill = std::chrono::milliseconds(50), kOnceMore = std::chrono::milliseconds(2);
+// Upper bound of a time span in seconds, which keeps its conversion from overflowing.
+constexpr double kMaxSeconds = 1e9;
+// A timer that fires later than kStalledBy shows that the process was stalled. The time-out is then postponed
+// once by kStallGrace, so that a response that is already in the socket is read first.
+constexpr auto kStalledBy = std::chrono::milliseconds(50), kStallGrace = std::chrono::milliseconds(2);
 
 Clock::duration span(double seconds) {
   return std::chrono::duration_cast<Clock::duration>(
-      std::chrono::duration<double>(std::clamp(seconds, 0.0, kForever)));
+      std::chrono::duration<double>(std::clamp(seconds, 0.0, kMaxSeconds)));
 }
 
 } // namespace
 
+// One connection to a server, with the request that it carries.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  enum class State { connecting, asking, late, streaming, idle, closed };
+  // awaiting_late: the request has timed out and its late response is awaited.
+  enum class State { connecting, awaiting_response, awaiting_late, streaming, idle, closed };
 
   ClientConnection(Client &client, const Endpoint &where)
       : server(where), client_(client), socket_(client.io_), timer_(client.io_),
@@ -29,35 +35,40 @@
 
   const Endpoint server;
   State state() const { return state_; }
-  // Idle, and not past its time: a process that stood still finds timers that are due and did not run yet.
-  bool fresh() const { return state_ == State::idle && timer_.expiry() > Clock::now(); }
+  // Returns whether the connection is idle and its idle time has not passed. The expiry is compared here
+  // because after a stall of the process the timer may be due without having run.
+  bool is_reusable() const { return state_ == State::idle && timer_.expiry() > Clock::now(); }
 
-  void begin(Client::RequestId id, const Request &request, double time_out, Client::ResultCallback done,
+  void begin(Client::RequestId id, const Request &request, double timeout, Client::ResultCallback done,
              Client::LateCallback late) {
-    id_ = id, done_ = std::move(done), late_ = std::move(late);
-    began_ = Clock::now();
-    waited_once_more_ = false;
-    give_up_at_ = began_ + span(time_out);
+    id_ = id;
+    done_ = std::move(done);
+    late_ = std::move(late);
+    started_at_ = Clock::now();
+    grace_used_ = false;
+    deadline_ = started_at_ + span(timeout);
     out_ = write_request(request, server.address().to_string() + ":" + std::to_string(server.port()));
     if (state_ == State::idle) {
-      become(State::asking);
+      set_state(State::awaiting_response);
       return write();
     }
-    arm(std::min(span(client_.limits_.connect_time), span(time_out)));
+    start_timer(std::min(span(client_.limits_.connect_time), span(timeout)));
     socket_.async_connect(server, [self = shared_from_this()](asio::error_code error) {
       if (self->state_ != State::connecting) return;
-      if (error) return self->end(EndReason::unreachable);
+      if (error) return self->fail(EndReason::unreachable);
       asio::error_code ignored;
       self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-      self->become(State::asking);
+      self->set_state(State::awaiting_response);
       self->write();
       self->read();
     });
   }
 
-  void as_stream(std::function<void(const Response &)> head, std::function<void(std::string_view)> data) {
+  // Prepares the connection for a streamed response; called before begin().
+  void set_stream_callbacks(std::function<void(const Response &)> head,
+                            std::function<void(std::string_view)> data) {
     reader_.on_headers = [this, head] {
-      become(State::streaming);
+      set_state(State::streaming);
       timer_.cancel();
       head(reader_.response);
     };
@@ -67,56 +78,61 @@
   void close() {
     if (state_ == State::closed) return;
     auto self = shared_from_this();
-    become(State::closed);
+    set_state(State::closed);
     asio::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
-    client_.closed(*this);
+    client_.on_closed(*this);
   }
 
-  void drop() { // cancelled: nobody waits any more
-    done_ = nullptr, late_ = nullptr;
+  // Closes the connection of a cancelled request without calling its callbacks.
+  void cancel() {
+    done_ = nullptr;
+    late_ = nullptr;
     close();
   }
 
-  void orphan() { // the client goes away
-    done_ = nullptr, late_ = nullptr;
-    become(State::closed);
+  // Closes the connection when the client is destroyed, without calling the client or any callback.
+  void detach() {
+    done_ = nullptr;
+    late_ = nullptr;
+    set_state(State::closed);
     asio::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
   }
 
  private:
-  void become(State next) { state_ = next; } // the one place where a connection's state changes
+  void set_state(State next) { state_ = next; }
 
-  void arm(Clock::duration wait) {
+  void start_timer(Clock::duration wait) {
     timer_.expires_after(wait);
     timer_.async_wait([self = shared_from_this()](asio::error_code error) {
-      if (!error && self->state_ != State::closed && self->timer_.expiry() <= Clock::now()) self->time_up();
+      if (!error && self->state_ != State::closed && self->timer_.expiry() <= Clock::now()) self->on_timer();
     });
   }
 
-  void time_up() {
-    // Guards a process that stood still: answers that lie in the socket are read before a time-out is
-    // believed.
-    if (!waited_once_more_ && state_ != State::idle && Clock::now() - timer_.expiry() > kStoodStill) {
-      waited_once_more_ = true;
-      return arm(kOnceMore);
+  void on_timer() {
+    // After a stall of the process, responses that are already in the socket are read before a time-out is
+    // reported.
+    if (!grace_used_ && state_ != State::idle && Clock::now() - timer_.expiry() > kStalledBy) {
+      grace_used_ = true;
+      return start_timer(kStallGrace);
     }
     switch (state_) {
     case State::connecting:
-      return end(EndReason::unreachable);
-    case State::asking: { // the answer may still come: it is waited for, apart
-      if (!late_) return end(EndReason::timed_out);
-      become(State::late);
-      client_.in_hand_.erase(id_);
-      arm(span(client_.limits_.late_time));
+      return fail(EndReason::unreachable);
+    case State::awaiting_response: {
+      if (!late_) return fail(EndReason::timed_out);
+      // The late response is awaited on this connection.
+      set_state(State::awaiting_late);
+      client_.pending_requests_.erase(id_);
+      start_timer(span(client_.limits_.late_time));
       Result result;
       result.end_reason = EndReason::timed_out;
-      return tell(std::move(result));
+      return report(std::move(result));
     }
-    case State::late:
+    case State::awaiting_late:
       ++client_.counters_.late_given_up;
       [[fallthrough]];
     default:
@@ -125,10 +141,10 @@
   }
 
   void write() {
-    arm(give_up_at_ - Clock::now());
+    start_timer(deadline_ - Clock::now());
     asio::async_write(socket_, asio::buffer(out_),
                       [self = shared_from_this()](asio::error_code, std::size_t) {
-                        // An error shows in the read that is pending.
+                        // The pending read reports an error.
                       });
   }
 
@@ -136,43 +152,45 @@
     socket_.async_read_some(asio::buffer(chunk_),
                             [self = shared_from_this()](asio::error_code error, std::size_t n) {
                               if (self->state_ == State::closed) return;
-                              if (error) return self->peer_closed();
-                              self->take({self->chunk_.data(), n});
+                              if (error) return self->on_peer_closed();
+                              self->handle_input({self->chunk_.data(), n});
                               if (self->state_ != State::closed) self->read();
                             });
   }
 
-  void peer_closed() {
+  void on_peer_closed() {
     if (state_ == State::idle) return close();
     auto progress = reader_.end_of_input();
-    if (progress == MessageReader::Progress::complete) return answered();
-    end(EndReason::reset);
+    if (progress == MessageReader::Progress::complete) return on_response();
+    fail(EndReason::reset);
   }
 
-  void take(std::string_view bytes) {
-    if (state_ == State::idle) return close(); // an answer to no request
+  void handle_input(std::string_view bytes) {
+    // A response without a request.
+    if (state_ == State::idle) return close();
     std::size_t taken = 0;
     auto progress = reader_.feed(bytes, taken);
     if (state_ == State::closed || progress == MessageReader::Progress::needs_more) return;
-    if (progress == MessageReader::Progress::failed) return end(EndReason::malformed);
-    bool more = taken < bytes.size(); // bytes beyond the one answer: this connection is not to be trusted
-    answered(more);
+    if (progress == MessageReader::Progress::failed) return fail(EndReason::malformed);
+    // Bytes after the response belong to no request, so the connection is not reused.
+    bool has_excess = taken < bytes.size();
+    on_response(has_excess);
   }
 
-  void answered(bool spoilt = false) {
+  void on_response(bool has_excess = false) {
     Response response = std::move(reader_.response);
-    bool keep = reader_.keep_alive() && !spoilt && state_ != State::streaming;
+    bool keep = reader_.keep_alive() && !has_excess && state_ != State::streaming;
     reader_.start_next();
     State before = state_;
     auto self = shared_from_this();
-    client_.in_hand_.erase(id_);
+    client_.pending_requests_.erase(id_);
     if (keep) {
-      become(State::idle);
-      arm(span(client_.limits_.idle_time));
+      set_state(State::idle);
+      start_timer(span(client_.limits_.idle_time));
     } else {
       close();
     }
-    if (before == State::late) {
+    if (before == State::awaiting_late) {
       ++client_.counters_.late;
       if (auto late = std::exchange(late_, nullptr)) late(response);
       return;
@@ -180,20 +198,21 @@
     Result result;
     result.end_reason = EndReason::answered;
     result.response = std::move(response);
-    tell(std::move(result));
+    report(std::move(result));
   }
 
-  void end(EndReason ending) {
-    bool owed = state_ != State::late;
+  // Closes the connection and reports the result, unless the time-out was already reported.
+  void fail(EndReason reason) {
+    bool unreported = state_ != State::awaiting_late;
     close();
-    if (!owed) return;
+    if (!unreported) return;
     Result result;
-    result.end_reason = ending;
-    tell(std::move(result));
+    result.end_reason = reason;
+    report(std::move(result));
   }
 
-  void tell(Result result) {
-    result.duration = std::chrono::duration<double>(Clock::now() - began_).count();
+  void report(Result result) {
+    result.duration = std::chrono::duration<double>(Clock::now() - started_at_).count();
     if (auto done = std::exchange(done_, nullptr)) done(result);
   }
 
@@ -203,43 +222,45 @@
   asio::steady_timer timer_;
   MessageReader reader_;
   State state_ = State::connecting;
-  bool waited_once_more_ = false;
+  bool grace_used_ = false;
   Client::RequestId id_ = 0;
   Client::ResultCallback done_;
   Client::LateCallback late_;
-  Clock::time_point began_, give_up_at_;
+  Clock::time_point started_at_, deadline_;
+  // The request as it is written.
   std::string out_;
   std::array<char, 4096> chunk_;
 };
 
 Client::~Client() {
   for (auto &[to, connections] : servers_) {
-    for (auto &connection : connections) connection->orphan();
+    for (auto &connection : connections) connection->detach();
   }
 }
 
-std::shared_ptr<ClientConnection> Client::connection_to(const Endpoint &to, bool fresh) {
+std::shared_ptr<ClientConnection> Client::connection_to(const Endpoint &to, bool open_new) {
   auto &connections = servers_[to];
-  if (!fresh) {
+  if (!open_new) {
     for (auto it = connections.rbegin(); it != connections.rend(); ++it) {
-      if ((*it)->fresh()) {
+      if ((*it)->is_reusable()) {
         ++counters_.reused;
         return *it;
       }
     }
   }
-  if (connections.size() >= limits_.connections_per_server || in_all_ >= limits_.total_connections) {
+  if (connections.size() >= limits_.connections_per_server ||
+      connection_count_ >= limits_.total_connections) {
     if (connections.empty()) servers_.erase(to);
     ++counters_.no_room;
     return nullptr;
   }
   ++counters_.opened;
-  ++in_all_;
+  ++connection_count_;
   connections.push_back(std::make_shared<ClientConnection>(*this, to));
   return connections.back();
 }
 
-Client::RequestId Client::no_room(RequestId id, ResultCallback done) {
+Client::RequestId Client::fail_without_capacity(RequestId id, ResultCallback done) {
   asio::post(io_, [done = std::move(done)] {
     Result result;
     result.end_reason = EndReason::no_capacity;
@@ -248,34 +269,34 @@
   return id;
 }
 
-Client::RequestId Client::send(const Endpoint &to, const Request &request, double time_out,
+Client::RequestId Client::send(const Endpoint &to, const Request &request, double timeout,
                                ResultCallback done, LateCallback late) {
-  RequestId id = next_++;
+  RequestId id = next_id_++;
   auto connection = connection_to(to, false);
-  if (!connection) return no_room(id, std::move(done));
-  in_hand_[id] = connection;
-  connection->begin(id, request, time_out, std::move(done), std::move(late));
+  if (!connection) return fail_without_capacity(id, std::move(done));
+  pending_requests_[id] = connection;
+  connection->begin(id, request, timeout, std::move(done), std::move(late));
   return id;
 }
 
 Client::RequestId Client::stream(const Endpoint &to, const Request &request, double head_time,
                                  std::function<void(const Response &)> head,
                                  std::function<void(std::string_view)> data, ResultCallback done) {
-  RequestId id = next_++;
+  RequestId id = next_id_++;
   auto connection = connection_to(to, true);
-  if (!connection) return no_room(id, std::move(done));
-  in_hand_[id] = connection;
-  connection->as_stream(std::move(head), std::move(data));
+  if (!connection) return fail_without_capacity(id, std::move(done));
+  pending_requests_[id] = connection;
+  connection->set_stream_callbacks(std::move(head), std::move(data));
   connection->begin(id, request, head_time, std::move(done), nullptr);
   return id;
 }
 
 bool Client::cancel(RequestId id) {
-  auto it = in_hand_.find(id);
-  if (it == in_hand_.end()) return false;
+  auto it = pending_requests_.find(id);
+  if (it == pending_requests_.end()) return false;
   auto connection = it->second.lock();
-  in_hand_.erase(it);
-  if (connection) connection->drop();
+  pending_requests_.erase(it);
+  if (connection) connection->cancel();
   return connection != nullptr;
 }
 
@@ -288,9 +309,9 @@
   }
 }
 
-void Client::closed(ClientConnection &connection) {
-  --in_all_;
-  in_hand_.erase(connection.id_);
+void Client::on_closed(ClientConnection &connection) {
+  --connection_count_;
+  pending_requests_.erase(connection.id_);
   auto it = servers_.find(connection.server);
   if (it == servers_.end()) return;
   std::erase_if(it->second, [&](const auto &one) { return one.get() == &connection; });
--- a/tests/http/loop.h
+++ b/tests/http/loop.h
@@ -1,4 +1,5 @@
-// What the socket tests share: a loop run until something holds, and a raw peer that says what it likes.
+// Helpers of tests that use sockets: running an io_context until a condition holds, a client that sends raw
+// bytes, and a server that lets the test send raw bytes on each of its connections.
 #pragma once
 #include "http/server.h"
 
@@ -12,13 +13,15 @@
 
 using http::loopback;
 
-inline bool run_until(asio::io_context &io, const std::function<bool()> &holds, double seconds = 5) {
+// Runs the context until the condition holds or the time in seconds is over; returns whether the condition
+// holds.
+inline bool run_until(asio::io_context &io, const std::function<bool()> &condition, double seconds = 5) {
   auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
-  while (!holds() && std::chrono::steady_clock::now() < end) {
+  while (!condition() && std::chrono::steady_clock::now() < end) {
     io.restart();
     io.run_for(std::chrono::milliseconds(2));
   }
-  return holds();
+  return condition();
 }
 
 inline void run_for(asio::io_context &io, double seconds) {
@@ -26,7 +29,8 @@
       io, [] { return false; }, seconds);
 }
 
-struct RawClient { // a client's socket that the test writes to byte by byte
+// A client connection on which the test sends any bytes; it collects what it receives.
+struct RawClient {
   asio::io_context &io;
   asio::ip::tcp::socket socket;
   std::string received;
@@ -49,6 +53,7 @@
       }
     });
   }
+  // Returns the number of times that `part` occurs in the received bytes.
   std::size_t count(const std::string &part) const {
     std::size_t n = 0;
     for (std::size_t at = received.find(part); at != std::string::npos; at = received.find(part, at + 1)) ++n;
@@ -57,7 +62,8 @@
   char buffer[4096];
 };
 
-struct RawServer { // accepts, and hands what each connection says to the test
+// Accepts connections and passes what each receives to the test.
+struct RawServer {
   asio::ip::tcp::acceptor acceptor;
   struct Connection {
     asio::ip::tcp::socket socket;
@@ -76,19 +82,19 @@
       accept();
     });
   }
-  void read(std::shared_ptr<Connection> link) {
-    link->socket.async_read_some(asio::buffer(link->buffer),
-                                 [this, link](asio::error_code error, std::size_t n) {
-                                   link->received.append(link->buffer, n);
-                                   link->closed = static_cast<bool>(error);
-                                   if (error) return;
-                                   if (on_data) on_data(*link);
-                                   read(link);
-                                 });
+  void read(std::shared_ptr<Connection> connection) {
+    connection->socket.async_read_some(asio::buffer(connection->buffer),
+                                       [this, connection](asio::error_code error, std::size_t n) {
+                                         connection->received.append(connection->buffer, n);
+                                         connection->closed = static_cast<bool>(error);
+                                         if (error) return;
+                                         if (on_data) on_data(*connection);
+                                         read(connection);
+                                       });
   }
-  static void send(Connection &link, const std::string &text) {
+  static void send(Connection &connection, const std::string &text) {
     asio::error_code ignored;
-    asio::write(link.socket, asio::buffer(text), ignored);
+    asio::write(connection.socket, asio::buffer(text), ignored);
   }
 };
 
--- a/tests/http/test_http.cpp
+++ b/tests/http/test_http.cpp
@@ -1,3 +1,4 @@
+// Tests of the HTTP server, the HTTP client and the writers of messages.
 #include "http/client.h"
 #include "http/loop.h"
 #include "http/server.h"
@@ -11,19 +12,20 @@
 
 namespace {
 
-struct Echo { // answers each path; /hold keeps the exchange, /stream opens one
+// Responds with the path and the body of each request. /hold keeps the exchange open, /stream opens a stream.
+struct EchoServer {
   asio::io_context io;
   std::vector<std::shared_ptr<Exchange>> held;
-  int gone = 0;
+  int disconnects = 0;
   Server server;
-  explicit Echo(ServerLimits limits = {})
+  explicit EchoServer(ServerLimits limits = {})
       : server(io, loopback(), limits,
                [this](const Request &request, const std::shared_ptr<Exchange> &exchange) {
                  if (request.path == "/hold") {
-                   exchange->on_disconnect = [this] { ++gone; };
+                   exchange->on_disconnect = [this] { ++disconnects; };
                    held.push_back(exchange);
                  } else if (request.path == "/stream") {
-                   exchange->on_disconnect = [this] { ++gone; };
+                   exchange->on_disconnect = [this] { ++disconnects; };
                    exchange->open_stream({});
                    held.push_back(exchange);
                  } else {
@@ -43,8 +45,8 @@
 
 } // namespace
 
-TEST_CASE("pipelined requests are answered in order, the second waits for the first") {
-  Echo echo;
+TEST_CASE("pipelined requests are handled one at a time and answered in order") {
+  EchoServer echo;
   RawClient peer(echo.io, echo.server.local_endpoint());
   peer.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return !echo.held.empty(); }));
@@ -53,19 +55,21 @@
   Response first;
   first.body = "first";
   echo.held[0]->respond(first);
-  echo.held[0]->respond(first); // a second answer is none
+  // A second response to the same request has no effect.
+  echo.held[0]->respond(first);
   REQUIRE(run_until(echo.io, [&] { return peer.received.find("/b") != std::string::npos; }));
   CHECK(peer.received.find("first") < peer.received.find("X-Path: /b"));
   CHECK(peer.count("HTTP/1.1 200") == 2);
 }
 
-TEST_CASE("what is malformed, too long or too slow is refused by status and the connection closed") {
+TEST_CASE("a malformed, oversized or slow request is refused and its connection closed") {
   ServerLimits limits;
   limits.header_time = 0.3;
   limits.idle_time = 0.3;
   struct Row {
     std::string text;
-    const char *status; // "": closed without an answer
+    // Empty when the connection is closed without a response.
+    const char *status;
   };
   std::string big(1 << 20, 'x');
   for (const Row &row : {Row{"NONSENSE\r\n\r\n", "400"}, Row{"GET /%zz HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
@@ -75,7 +79,7 @@
                          Row{"POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", "400"},
                          Row{"GET / HTTP/1.1\r\nHos", "408"}, Row{"", ""}}) {
     CAPTURE(row.text.substr(0, 60));
-    Echo echo(limits);
+    EchoServer echo(limits);
     RawClient peer(echo.io, echo.server.local_endpoint());
     peer.send(row.text);
     REQUIRE(run_until(echo.io, [&] { return peer.closed; }));
@@ -84,10 +88,10 @@
   }
 }
 
-TEST_CASE("a peer that sends one byte at a time is cut though each byte is quick") {
+TEST_CASE("a request sent byte by byte is refused at the time limit for the whole request") {
   ServerLimits limits;
   limits.header_time = 0.4;
-  Echo echo(limits);
+  EchoServer echo(limits);
   RawClient peer(echo.io, echo.server.local_endpoint());
   std::string text = "GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + std::string(200, 'y') + "\r\n\r\n";
   std::size_t sent = 0;
@@ -100,11 +104,11 @@
   CHECK(echo.server.counters().slow_cut == 1);
 }
 
-TEST_CASE("connections that send nothing crowd out nobody who asks") {
+TEST_CASE("idle connections at the limit do not keep out a client with a request") {
   ServerLimits limits;
   limits.connections = 64;
   limits.header_time = 30;
-  Echo echo(limits);
+  EchoServer echo(limits);
   std::vector<std::unique_ptr<RawClient>> silent;
   for (int i = 0; i < 400; ++i) {
     silent.push_back(std::make_unique<RawClient>(echo.io, echo.server.local_endpoint()));
@@ -117,41 +121,42 @@
   CHECK(run_until(echo.io, [&] { return peer.count("200 OK") == 1; }));
 }
 
-TEST_CASE("out of descriptors on accept: those open go on, accepting comes back by itself") {
-  Echo echo;
+TEST_CASE("without free descriptors open connections are served, and accepting resumes later") {
+  EchoServer echo;
   RawClient before(echo.io, echo.server.local_endpoint());
   before.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   REQUIRE(run_until(echo.io, [&] { return before.count("200 OK") == 1; }));
-  RawClient waiting(echo.io, echo.server.local_endpoint()); // in the backlog
-  rlimit was{};
-  getrlimit(RLIMIT_NOFILE, &was);
-  int probe = dup(0);
-  close(probe);
-  rlimit none{static_cast<rlim_t>(probe), was.rlim_max};
+  // Stays in the listen queue until a descriptor is free.
+  RawClient waiting(echo.io, echo.server.local_endpoint());
+  rlimit original{};
+  getrlimit(RLIMIT_NOFILE, &original);
+  int next_descriptor = dup(0);
+  close(next_descriptor);
+  rlimit none{static_cast<rlim_t>(next_descriptor), original.rlim_max};
   setrlimit(RLIMIT_NOFILE, &none);
   run_for(echo.io, 0.15);
   auto faults = echo.server.counters().accept_faults;
   before.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   bool served = run_until(echo.io, [&] { return before.count("200 OK") == 2; });
-  setrlimit(RLIMIT_NOFILE, &was);
+  setrlimit(RLIMIT_NOFILE, &original);
   CHECK(faults > 0);
   CHECK(served);
   waiting.send("GET /b HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(run_until(echo.io, [&] { return waiting.count("200 OK") == 1; }));
 }
 
-TEST_CASE("a peer that closes before its answer has left; a stream's reader that stops is cut") {
+TEST_CASE("on_disconnect reports a client that closes early and a stream reader that does not read") {
   ServerLimits limits;
   limits.unsent_stream_bytes = 64 << 10;
-  Echo echo(limits);
+  EchoServer echo(limits);
   {
     RawClient peer(echo.io, echo.server.local_endpoint());
     peer.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
     REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 1; }));
     peer.socket.close();
-    run_until(echo.io, [&] { return echo.gone == 1 && peer.closed; });
+    run_until(echo.io, [&] { return echo.disconnects == 1 && peer.closed; });
   }
-  CHECK(echo.gone == 1);
+  CHECK(echo.disconnects == 1);
   asio::ip::tcp::socket reader(echo.io);
   reader.connect(echo.server.local_endpoint());
   asio::write(reader, asio::buffer(std::string("GET /stream HTTP/1.1\r\nHost: a\r\n\r\n")));
@@ -163,12 +168,12 @@
     echo.io.restart();
   }
   CHECK(!open);
-  CHECK(echo.gone == 2);
+  CHECK(echo.disconnects == 2);
   CHECK(echo.server.counters().stream_cut == 1);
 }
 
-TEST_CASE("draining answers what is in hand and closes the rest") {
-  Echo echo;
+TEST_CASE("drain answers the request being handled and closes idle connections") {
+  EchoServer echo;
   RawClient idle(echo.io, echo.server.local_endpoint()), busy(echo.io, echo.server.local_endpoint());
   idle.send("GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
   busy.send("GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -182,7 +187,7 @@
   CHECK(run_until(echo.io, [&] { return busy.count("200 OK") == 1; }));
 }
 
-TEST_CASE("no name or title splits an answer or a request") {
+TEST_CASE("line ends in a value cannot add headers to a response or a request") {
   Response response;
   response.headers.add("Location", "/a\r\nSet-Cookie: b=1\r\n\r\n<html>");
   std::string text = write_response(response, true);
@@ -193,41 +198,43 @@
   CHECK(!percent_decode("%g0"));
 }
 
-TEST_CASE("a late answer is told apart and never taken for the next request's") {
+TEST_CASE("a late response is not taken for the response to the next request") {
   asio::io_context io;
   RawServer server(io);
   ClientLimits limits;
   limits.late_time = 2;
   Client client(io, limits);
-  std::vector<EndReason> endings;
+  std::vector<EndReason> end_reasons;
   std::vector<std::string> late, bodies;
   auto ask = [&](double time_out) {
     client.send(
         server.acceptor.local_endpoint(), get("/x"), time_out,
-        [&](const Result &r) { endings.push_back(r.end_reason), bodies.push_back(r.response.body); },
+        [&](const Result &r) { end_reasons.push_back(r.end_reason), bodies.push_back(r.response.body); },
         [&](const Response &r) { late.push_back(r.body); });
   };
   ask(0.1);
-  REQUIRE(run_until(io, [&] { return endings.size() == 1; }));
-  CHECK(endings[0] == EndReason::timed_out);
+  REQUIRE(run_until(io, [&] { return end_reasons.size() == 1; }));
+  CHECK(end_reasons[0] == EndReason::timed_out);
   ask(2);
   REQUIRE(run_until(
       io, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
   RawServer::send(*server.connections[0], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
   REQUIRE(run_until(io, [&] { return late.size() == 1; }));
-  CHECK(endings.size() == 1);
+  CHECK(end_reasons.size() == 1);
   RawServer::send(*server.connections[1], "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
-  REQUIRE(run_until(io, [&] { return endings.size() == 2; }));
+  REQUIRE(run_until(io, [&] { return end_reasons.size() == 2; }));
   CHECK(bodies[1] == "new");
   CHECK(late[0] == "old");
-  ask(2); // both connections are free again
+  // Both connections are idle again.
+  ask(2);
   REQUIRE(run_until(io, [&] { return client.counters().reused == 1; }));
 }
 
-TEST_CASE("each way a request can end is told for what it proves") {
+TEST_CASE("each way in which a request can end has its own end reason") {
   struct Row {
-    const char *says; // nullptr: nothing; "close", "reset"
-    EndReason ending;
+    // The bytes that the server sends; "close" and "reset" end the connection, nullptr sends nothing.
+    const char *response;
+    EndReason end_reason;
   };
   for (Row row : {Row{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", EndReason::answered},
                   Row{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", EndReason::answered},
@@ -235,63 +242,64 @@
                   Row{"reset", EndReason::reset},
                   Row{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", EndReason::timed_out},
                   Row{nullptr, EndReason::timed_out}}) {
-    CAPTURE(row.says ? row.says : "nothing");
+    CAPTURE(row.response ? row.response : "nothing");
     asio::io_context io;
     RawServer server(io);
-    server.on_data = [&](RawServer::Connection &link) {
-      if (!row.says) return;
-      std::string says = row.says;
-      if (says == "reset") link.socket.set_option(asio::socket_base::linger(true, 0));
-      if (says == "reset" || says == "close") return link.socket.close();
-      RawServer::send(link, says);
+    server.on_data = [&](RawServer::Connection &connection) {
+      if (!row.response) return;
+      std::string response = row.response;
+      if (response == "reset") connection.socket.set_option(asio::socket_base::linger(true, 0));
+      if (response == "reset" || response == "close") return connection.socket.close();
+      RawServer::send(connection, response);
     };
     Client client(io, {});
-    std::vector<EndReason> endings;
+    std::vector<EndReason> end_reasons;
     client.send(server.acceptor.local_endpoint(), get("/"), 0.3,
-                [&](const Result &r) { endings.push_back(r.end_reason); });
-    REQUIRE(run_until(io, [&] { return !endings.empty(); }));
+                [&](const Result &r) { end_reasons.push_back(r.end_reason); });
+    REQUIRE(run_until(io, [&] { return !end_reasons.empty(); }));
     run_for(io, 0.05);
-    REQUIRE(endings.size() == 1);
-    CHECK(endings[0] == row.ending);
+    REQUIRE(end_reasons.size() == 1);
+    CHECK(end_reasons[0] == row.end_reason);
   }
   asio::io_context io;
   Client client(io, {});
-  Endpoint nobody;
+  Endpoint unused;
   {
-    asio::ip::tcp::acceptor gone(io, loopback());
-    nobody = gone.local_endpoint();
+    asio::ip::tcp::acceptor closed(io, loopback());
+    unused = closed.local_endpoint();
   }
   int unreachable = 0;
-  client.send(nobody, get("/"), 1,
+  client.send(unused, get("/"), 1,
               [&](const Result &r) { unreachable += r.end_reason == EndReason::unreachable; });
-  CHECK(unreachable == 0); // never during send()
+  // No callback is called during send().
+  CHECK(unreachable == 0);
   CHECK(run_until(io, [&] { return unreachable == 1; }));
 }
 
-TEST_CASE("connections are bounded in number, cancel closes, a stream hands its data on") {
-  Echo echo;
+TEST_CASE("the client limits connections, cancels requests and delivers streamed data") {
+  EchoServer echo;
   ClientLimits limits;
   limits.connections_per_server = 2;
   Client client(echo.io, limits);
-  std::vector<EndReason> endings;
-  auto note = [&](const Result &r) { endings.push_back(r.end_reason); };
-  auto first = client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
-  client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
-  client.send(echo.server.local_endpoint(), get("/hold"), 5, note);
-  REQUIRE(run_until(echo.io, [&] { return endings.size() == 1 && echo.held.size() == 2; }));
-  CHECK(endings[0] == EndReason::no_capacity);
+  std::vector<EndReason> end_reasons;
+  auto record = [&](const Result &r) { end_reasons.push_back(r.end_reason); };
+  auto first = client.send(echo.server.local_endpoint(), get("/hold"), 5, record);
+  client.send(echo.server.local_endpoint(), get("/hold"), 5, record);
+  client.send(echo.server.local_endpoint(), get("/hold"), 5, record);
+  REQUIRE(run_until(echo.io, [&] { return end_reasons.size() == 1 && echo.held.size() == 2; }));
+  CHECK(end_reasons[0] == EndReason::no_capacity);
   CHECK(client.cancel(first));
   CHECK(!client.cancel(first));
-  CHECK(run_until(echo.io, [&] { return echo.gone == 1; }));
+  CHECK(run_until(echo.io, [&] { return echo.disconnects == 1; }));
   std::string data;
   int heads = 0;
   client.stream(
       echo.server.local_endpoint(), get("/stream"), 1, [&](const Response &) { ++heads; },
-      [&](std::string_view part) { data += part; }, note);
+      [&](std::string_view part) { data += part; }, record);
   REQUIRE(run_until(echo.io, [&] { return echo.held.size() == 3 && heads == 1; }));
   echo.held[2]->write("one\n");
   echo.held[2]->write("two\n");
   CHECK(run_until(echo.io, [&] { return data == "one\ntwo\n"; }));
   echo.held[2]->end_stream();
-  CHECK(run_until(echo.io, [&] { return endings.size() == 2; }));
+  CHECK(run_until(echo.io, [&] { return end_reasons.size() == 2; }));
 }
