--- a/src/serverwire/protocol.cpp
+++ b/src/serverwire/protocol.cpp
@@ -1,3 +1,4 @@
+// Writing and parsing of the messages between a front and a server.
 #include "serverwire/protocol.h"
 
 #include <nlohmann/json.hpp>
@@ -12,6 +13,7 @@
 
 using Json = nlohmann::json;
 
+// Formats a number with three decimals.
 std::string number_text(double value) {
   char buffer[32];
   auto end = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 3).ptr;
@@ -20,27 +22,31 @@
 
 http::Request request(std::string method, std::string target) {
   http::Request out;
-  out.method = std::move(method), out.target = std::move(target);
+  out.method = std::move(method);
+  out.target = std::move(target);
   return out;
 }
 
-constexpr std::pair<Report::Kind, const char *> kKinds[] = {
+constexpr std::pair<Report::Kind, const char *> kKindNames[] = {
     {Report::Kind::hello, "hello"}, {Report::Kind::heartbeat, "beat"}, {Report::Kind::share, "share"},
     {Report::Kind::load, "load"},   {Report::Kind::rung, "rung"},      {Report::Kind::end, "end"}};
 
 } // namespace
 
-http::Request write_set_up(const SetUpRequest &s) {
+http::Request write_set_up(const SetUpRequest &set_up) {
   return request(
-      "POST", "/plays/" + http::percent_encode(s.play) + "?title=" + http::percent_encode(s.title) +
-                  "&product=" + http::percent_encode(s.product) + "&rung=" + std::to_string(s.rung) +
-                  "&allocation=" + std::to_string(s.allocation) + "&front=" + http::percent_encode(s.front) +
-                  "&boot=" + http::percent_encode(s.boot) + "&expires_in=" + number_text(s.expires_in));
+      "POST",
+      "/plays/" + http::percent_encode(set_up.play) + "?title=" + http::percent_encode(set_up.title) +
+          "&product=" + http::percent_encode(set_up.product) + "&rung=" + std::to_string(set_up.rung) +
+          "&allocation=" + std::to_string(set_up.allocation) +
+          "&front=" + http::percent_encode(set_up.front) + "&boot=" + http::percent_encode(set_up.boot) +
+          "&expires_in=" + number_text(set_up.expires_in));
 }
 
 std::string text_parameter(const http::Request &request, std::string_view name) {
   auto value = request.query_parameter(name);
-  if (!value || value->empty()) throw std::invalid_argument("the part " + std::string(name) + " is missing");
+  if (!value || value->empty())
+    throw std::invalid_argument("the parameter " + std::string(name) + " is missing");
   return *value;
 }
 
@@ -49,22 +55,23 @@
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
-    throw std::invalid_argument("the part " + std::string(name) + " is no number: '" + text + "'");
+    throw std::invalid_argument("the parameter " + std::string(name) + " is not a number: '" + text + "'");
   return value;
 }
 
 int integer_parameter(const http::Request &request, std::string_view name) {
   double value = number_parameter(request, name);
   if (value != std::floor(value) || value < 0 || value > 1e9)
-    throw std::invalid_argument("the part " + std::string(name) + " is no small whole number");
+    throw std::invalid_argument("the parameter " + std::string(name) +
+                                " is not an integer between 0 and 1e9");
   return static_cast<int>(value);
 }
 
 std::optional<std::string> parse_play_path(std::string_view path) {
-  constexpr std::string_view kPlays = "/plays/", kRung = "/rung";
-  if (!path.starts_with(kPlays)) return std::nullopt;
-  path.remove_prefix(kPlays.size());
-  if (path.ends_with(kRung)) path.remove_suffix(kRung.size());
+  constexpr std::string_view kPlaysPrefix = "/plays/", kRungSuffix = "/rung";
+  if (!path.starts_with(kPlaysPrefix)) return std::nullopt;
+  path.remove_prefix(kPlaysPrefix.size());
+  if (path.ends_with(kRungSuffix)) path.remove_suffix(kRungSuffix.size());
   if (path.empty() || path.find('/') != std::string_view::npos) return std::nullopt;
   return std::string(path);
 }
@@ -72,7 +79,7 @@
 SetUpRequest parse_set_up(const http::Request &request) {
   SetUpRequest out;
   auto play = parse_play_path(request.path);
-  if (!play) throw std::invalid_argument("the path names no play");
+  if (!play) throw std::invalid_argument("the path does not name a play");
   out.play = *play;
   out.title = text_parameter(request, "title");
   out.product = text_parameter(request, "product");
@@ -103,7 +110,7 @@
 
 std::string write_report(const Report &report) {
   Json line;
-  for (const auto &[kind, name] : kKinds) {
+  for (const auto &[kind, name] : kKindNames) {
     if (kind == report.kind) line["is"] = name;
   }
   if (!report.play.empty()) line["play"] = report.play;
@@ -120,6 +127,7 @@
   if (!line.is_object()) return std::nullopt;
   Report out;
   bool known = false;
+  // Returns a finite, non-negative number of that name.
   auto number = [&](const char *name) -> std::optional<double> {
     auto it = line.find(name);
     if (it == line.end() || !it->is_number()) return std::nullopt;
@@ -128,15 +136,16 @@
   };
   auto is = line.find("is");
   if (is == line.end() || !is->is_string()) return std::nullopt;
-  for (const auto &[kind, name] : kKinds) {
+  for (const auto &[kind, name] : kKindNames) {
     if (*is == name) out.kind = kind, known = true;
   }
   if (!known) return std::nullopt;
   if (auto play = line.find("play"); play != line.end() && play->is_string())
     out.play = play->get<std::string>();
-  bool of_play = out.kind != Report::Kind::hello && out.kind != Report::Kind::heartbeat;
-  if (of_play && out.play.empty()) return std::nullopt;
-  out.link = number("link"), out.uplink = number("uplink");
+  bool needs_play = out.kind != Report::Kind::hello && out.kind != Report::Kind::heartbeat;
+  if (needs_play && out.play.empty()) return std::nullopt;
+  out.link = number("link");
+  out.uplink = number("uplink");
   if (out.kind == Report::Kind::share || out.kind == Report::Kind::rung) {
     auto value = number("value");
     if (!value) return std::nullopt;
