--- a/src/hints/hints.cpp
+++ b/src/hints/hints.cpp
@@ -1,3 +1,4 @@
+// Mapping of CMCD and CMSD keys to and from structured fields.
 #include "hints/hints.h"
 
 #include <array>
@@ -6,37 +7,40 @@
 
 namespace {
 
-// Keys of CTA-5004 that are known and not used here: not counted as unknown.
-constexpr std::string_view kUnused[] = {"br", "d", "dl", "nor", "nrr", "ot", "pr", "rtp", "v"};
-constexpr std::string_view kStreams = "com.snowshore-streams", kShare = "com.snowshore-share",
-                           kLink = "com.snowshore-link", kUplink = "com.snowshore-uplink";
+// Keys of CTA-5004 that are recognized but not used, so that they are not counted as unknown.
+constexpr std::string_view kIgnoredKeys[] = {"br", "d", "dl", "nor", "nrr", "ot", "pr", "rtp", "v"};
+constexpr std::string_view kStreamsKey = "com.snowshore-streams", kShareKey = "com.snowshore-share",
+                           kLinkKey = "com.snowshore-link", kUplinkKey = "com.snowshore-uplink";
 
-bool put_number(const Item &item, std::optional<double> &into) {
+// Each store_* function returns false and leaves `into` unchanged when the item has the wrong type or is out
+// of range.
+bool store_number(const Item &item, std::optional<double> &into) {
   auto value = std::get_if<double>(&item);
   if (!value || *value < 0) return false;
   into = *value;
   return true;
 }
 
-constexpr std::size_t kLongestText = 64; // CTA-5004's own limit
+// The limit of CTA-5004 on session and content identifiers.
+constexpr std::size_t kMaxTextLength = 64;
 
-bool put_token(const Item &item, std::optional<std::string> &into) {
+bool store_token(const Item &item, std::optional<std::string> &into) {
   auto token = std::get_if<Token>(&item);
-  if (!token || token->text.size() > kLongestText) return false;
+  if (!token || token->text.size() > kMaxTextLength) return false;
   into = token->text;
   return true;
 }
 
-// Some players leave the quotes of an id away; its limit holds either way.
-bool put_text(const Item &item, std::optional<std::string> &into) {
+// Some players omit the quotes of an identifier; the limit applies in either form.
+bool store_text(const Item &item, std::optional<std::string> &into) {
   auto text = std::get_if<std::string>(&item);
-  if (!text) return put_token(item, into);
-  if (text->size() > kLongestText) return false;
+  if (!text) return store_token(item, into);
+  if (text->size() > kMaxTextLength) return false;
   into = *text;
   return true;
 }
 
-bool put_flag(const Item &item, bool &into) {
+bool store_flag(const Item &item, bool &into) {
   auto flag = std::get_if<bool>(&item);
   if (!flag) return false;
   into = *flag;
@@ -49,49 +53,49 @@
   ParsedField parsed = parse_dictionary(text);
   into.malformed += parsed.malformed;
   for (const Member &member : parsed.members) {
-    bool right = true;
+    bool valid = true;
     if (member.key == "sid") {
-      right = put_text(member.value, into.session_id);
+      valid = store_text(member.value, into.session_id);
     } else if (member.key == "cid") {
-      right = put_text(member.value, into.content_id);
+      valid = store_text(member.value, into.content_id);
     } else if (member.key == "mtp") {
-      right = put_number(member.value, into.measured_throughput_kbps);
+      valid = store_number(member.value, into.measured_throughput_kbps);
     } else if (member.key == "tb") {
-      right = put_number(member.value, into.top_bitrate_kbps);
+      valid = store_number(member.value, into.top_bitrate_kbps);
     } else if (member.key == "bl") {
-      right = put_number(member.value, into.buffer_length_ms);
+      valid = store_number(member.value, into.buffer_length_ms);
     } else if (member.key == "su") {
-      right = put_flag(member.value, into.startup);
+      valid = store_flag(member.value, into.startup);
     } else if (member.key == "bs") {
-      right = put_flag(member.value, into.buffer_starved);
+      valid = store_flag(member.value, into.buffer_starved);
     } else if (member.key == "st") {
-      right = put_token(member.value, into.stream_type);
+      valid = store_token(member.value, into.stream_type);
     } else if (member.key == "sf") {
-      right = put_token(member.value, into.streaming_format);
+      valid = store_token(member.value, into.streaming_format);
     } else {
       bool known = false;
-      for (std::string_view key : kUnused) known = known || key == member.key;
+      for (std::string_view key : kIgnoredKeys) known = known || key == member.key;
       into.unknown += !known;
     }
-    into.malformed += !right;
+    into.malformed += !valid;
   }
 }
 
 std::string write_cmcd(const Cmcd &hints) {
   std::string out;
-  auto put = [&](std::string_view key, const Item &item) {
+  auto append = [&](std::string_view key, const Item &item) {
     if (!out.empty()) out += ',';
     out += key;
     if (!std::holds_alternative<bool>(item)) out += '=' + write_item(item);
   };
-  if (hints.buffer_starved) put("bs", true);
-  if (hints.content_id) put("cid", *hints.content_id);
-  if (hints.measured_throughput_kbps) put("mtp", *hints.measured_throughput_kbps);
-  if (hints.streaming_format) put("sf", Token{*hints.streaming_format});
-  if (hints.session_id) put("sid", *hints.session_id);
-  if (hints.stream_type) put("st", Token{*hints.stream_type});
-  if (hints.startup) put("su", true);
-  if (hints.top_bitrate_kbps) put("tb", *hints.top_bitrate_kbps);
+  if (hints.buffer_starved) append("bs", true);
+  if (hints.content_id) append("cid", *hints.content_id);
+  if (hints.measured_throughput_kbps) append("mtp", *hints.measured_throughput_kbps);
+  if (hints.streaming_format) append("sf", Token{*hints.streaming_format});
+  if (hints.session_id) append("sid", *hints.session_id);
+  if (hints.stream_type) append("st", Token{*hints.stream_type});
+  if (hints.startup) append("su", true);
+  if (hints.top_bitrate_kbps) append("tb", *hints.top_bitrate_kbps);
   return out;
 }
 
@@ -101,33 +105,33 @@
   load.malformed = parsed.malformed;
   if (parsed.members.empty()) return load;
   for (const auto &[key, item] : parsed.members.back().parameters) {
-    bool right = true;
-    if (key == kStreams) {
-      right = put_number(item, load.streams);
-    } else if (key == kShare) {
-      right = put_number(item, load.link_share);
-    } else if (key == kLink) {
-      right = put_number(item, load.link);
-    } else if (key == kUplink) {
-      right = put_number(item, load.uplink);
+    bool valid = true;
+    if (key == kStreamsKey) {
+      valid = store_number(item, load.streams);
+    } else if (key == kShareKey) {
+      valid = store_number(item, load.link_share);
+    } else if (key == kLinkKey) {
+      valid = store_number(item, load.link);
+    } else if (key == kUplinkKey) {
+      valid = store_number(item, load.uplink);
     } else if (key == "du") {
-      right = put_flag(item, load.duress);
+      valid = store_flag(item, load.duress);
     }
-    load.malformed += !right;
+    load.malformed += !valid;
   }
   return load;
 }
 
 std::string write_cmsd(std::string_view server, const CmsdLoad &load) {
   std::string out = write_item(std::string(server));
-  auto put = [&](std::string_view key, const std::optional<double> &value) {
+  auto append = [&](std::string_view key, const std::optional<double> &value) {
     if (value) out += ";" + std::string(key) + "=" + write_item(*value);
   };
   if (load.duress) out += ";du";
-  put(kStreams, load.streams);
-  put(kShare, load.link_share);
-  put(kLink, load.link);
-  put(kUplink, load.uplink);
+  append(kStreamsKey, load.streams);
+  append(kShareKey, load.link_share);
+  append(kLinkKey, load.link);
+  append(kUplinkKey, load.uplink);
   return out;
 }
 
--- a/src/hints/hints.h
+++ b/src/hints/hints.h
@@ -1,5 +1,6 @@
-// CMCD (CTA-5004): what a player says with a request. CMSD (CTA-5006): what a server says with an answer;
-// load is told in CMSD-Dynamic under keys of our own, prefixed by a reversed name as the document asks.
+// CMCD (CTA-5004), which players send with requests, and CMSD (CTA-5006), which servers send with responses.
+// Servers report their load in CMSD-Dynamic under custom keys, whose names start with a reversed domain name
+// as CTA-5006 requires.
 #pragma once
 #include "decision/policy.h"
 #include "hints/structured.h"
@@ -10,6 +11,7 @@
 
 namespace snowshore::hints {
 
+// The CMCD keys that are used; the comments give the key of each member.
 struct Cmcd {
   std::optional<std::string> session_id;          // sid
   std::optional<std::string> content_id;          // cid
@@ -18,23 +20,26 @@
   std::optional<double> buffer_length_ms;         // bl
   bool startup = false;                           // su
   bool buffer_starved = false;                    // bs
-  std::optional<std::string> stream_type;         // st: v, l
+  std::optional<std::string> stream_type;         // st: v (on demand) or l (live)
   std::optional<std::string> streaming_format;    // sf
-  int malformed = 0, unknown = 0;                 // keys passed over
+  // The number of keys that were ignored.
+  int malformed = 0, unknown = 0;
 };
 
 constexpr std::string_view kCmcdHeaders[] = {"CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session"};
 
-// Adds what one header, or the decoded query argument, says.
+// Adds the keys of one CMCD header or of the decoded CMCD query argument to `into`.
 void parse_cmcd(std::string_view text, Cmcd &into);
-std::string write_cmcd(const Cmcd &hints); // for the query argument, not encoded
+// Returns the value of the CMCD query argument, not yet percent-encoded.
+std::string write_cmcd(const Cmcd &hints);
 
 struct CmsdLoad : LoadReport {
   bool duress = false; // du
   int malformed = 0;
 };
 
-// The last entry of a CMSD-Dynamic list is the nearest server's; later hops before it are passed over.
+// Reads the last entry of a CMSD-Dynamic list, which the nearest server has added; the entries of earlier
+// hops are ignored.
 CmsdLoad parse_cmsd(std::string_view text);
 std::string write_cmsd(std::string_view server, const CmsdLoad &load);
 
--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -1,3 +1,4 @@
+// Parser and writer of structured fields.
 #include "hints/structured.h"
 
 #include <algorithm>
@@ -8,23 +9,27 @@
 
 namespace {
 
-constexpr std::size_t kMostMembers = 128; // guards against a field that holds nothing but keys
+// Bounds the memory that a field with very many keys can use; further members count as malformed.
+constexpr std::size_t kMaxMembers = 128;
 
-bool lower(char c) { return c >= 'a' && c <= 'z'; }
-bool alpha(char c) { return lower(c) || (c >= 'A' && c <= 'Z'); }
-bool digit(char c) { return c >= '0' && c <= '9'; }
+bool is_lower(char c) { return c >= 'a' && c <= 'z'; }
+bool is_alpha(char c) { return is_lower(c) || (c >= 'A' && c <= 'Z'); }
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
+// Reads the elements of a field from left to right. After a failed read the position is unspecified; the
+// caller continues with skip_member().
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : text_(text) {}
   bool done() const { return at_ >= text_.size(); }
   char peek() const { return done() ? '\0' : text_[at_]; }
+  // Consumes the next character if it equals c, and returns whether it did.
   bool take(char c) { return peek() == c && !done() ? (++at_, true) : false; }
-  void spaces() {
+  void skip_spaces() {
     while (peek() == ' ' || peek() == '\t') ++at_;
   }
 
-  // To the comma that ends the member in hand; commas in quotes are passed over.
+  // Moves to the comma that ends the current member, or to the end; commas inside quotes are ignored.
   void skip_member() {
     bool quoted = false;
     for (; !done(); ++at_) {
@@ -39,14 +44,14 @@
     at_ = text_.size();
   }
 
-  // CMCD has keys in mixed case in its reserved custom ones; they are taken as they come.
+  // RFC 8941 allows only lowercase keys, but custom CMCD keys may be in mixed case, so both are accepted.
   std::optional<std::string> key() {
-    std::size_t from = at_;
-    if (!alpha(peek()) && peek() != '*') return std::nullopt;
-    while (alpha(peek()) || digit(peek()) ||
+    std::size_t start = at_;
+    if (!is_alpha(peek()) && peek() != '*') return std::nullopt;
+    while (is_alpha(peek()) || is_digit(peek()) ||
            (!done() && std::string_view("_-.*").find(peek()) != std::string_view::npos))
       ++at_;
-    return std::string(text_.substr(from, at_ - from));
+    return std::string(text_.substr(start, at_ - start));
   }
 
   std::optional<Item> item() {
@@ -69,34 +74,36 @@
       if (take('0')) return false;
       return std::nullopt;
     }
-    if (peek() == '-' || digit(peek())) {
-      std::size_t from = at_;
+    if (peek() == '-' || is_digit(peek())) {
+      std::size_t start = at_;
       take('-');
-      std::size_t whole = at_;
-      while (digit(peek())) ++at_;
-      std::size_t digits = at_ - whole;
-      bool decimal = take('.');
-      std::size_t part = at_;
-      while (decimal && digit(peek())) ++at_;
-      if (digits < 1 || digits > (decimal ? 12 : 15) || (decimal && (at_ == part || at_ - part > 3)))
+      std::size_t integer_start = at_;
+      while (is_digit(peek())) ++at_;
+      std::size_t integer_digits = at_ - integer_start;
+      bool is_decimal = take('.');
+      std::size_t fraction_start = at_;
+      while (is_decimal && is_digit(peek())) ++at_;
+      if (integer_digits < 1 || integer_digits > (is_decimal ? 12 : 15) ||
+          (is_decimal && (at_ == fraction_start || at_ - fraction_start > 3)))
         return std::nullopt;
       double value = 0;
-      std::from_chars(text_.data() + from, text_.data() + at_, value);
+      std::from_chars(text_.data() + start, text_.data() + at_, value);
       return value;
     }
-    if (alpha(peek()) || peek() == '*') {
-      std::size_t from = at_;
-      while (alpha(peek()) || digit(peek()) ||
+    if (is_alpha(peek()) || peek() == '*') {
+      std::size_t start = at_;
+      while (is_alpha(peek()) || is_digit(peek()) ||
              (!done() && std::string_view("!#$%&'*+-.^_`|~:/").find(peek()) != std::string_view::npos))
         ++at_;
-      return Token{std::string(text_.substr(from, at_ - from))};
+      return Token{std::string(text_.substr(start, at_ - start))};
     }
-    return std::nullopt; // inner lists and byte sequences: not among these hints
+    // The keys of CMCD and CMSD that are used here hold no inner lists and no byte sequences.
+    return std::nullopt;
   }
 
   bool parameters(Member &member) {
     while (take(';')) {
-      spaces();
+      skip_spaces();
       auto name = key();
       if (!name) return false;
       Item value = true;
@@ -128,7 +135,7 @@
       out.value = *value;
     }
     if (!parameters(out)) return std::nullopt;
-    spaces();
+    skip_spaces();
     if (!done() && peek() != ',') return std::nullopt;
     return out;
   }
@@ -140,21 +147,21 @@
 
 ParsedField parse(std::string_view text, bool with_keys) {
   ParsedField out;
-  Scanner scan(text);
-  scan.spaces();
-  while (!scan.done()) {
-    auto member = scan.member(with_keys);
-    if (!member || out.members.size() >= kMostMembers) {
+  Scanner scanner(text);
+  scanner.skip_spaces();
+  while (!scanner.done()) {
+    auto member = scanner.member(with_keys);
+    if (!member || out.members.size() >= kMaxMembers) {
       ++out.malformed;
-      scan.skip_member();
+      scanner.skip_member();
     } else {
-      if (with_keys)
-        std::erase_if(out.members, [&](const Member &m) { return m.key == member->key; }); // the last holds
+      if (with_keys) std::erase_if(out.members, [&](const Member &m) { return m.key == member->key; });
       out.members.push_back(std::move(*member));
     }
-    if (!scan.take(',')) break;
-    scan.spaces();
-    if (scan.done()) ++out.malformed; // a trailing comma
+    if (!scanner.take(',')) break;
+    scanner.skip_spaces();
+    // A trailing comma.
+    if (scanner.done()) ++out.malformed;
   }
   return out;
 }
--- a/src/hints/structured.h
+++ b/src/hints/structured.h
@@ -1,5 +1,5 @@
-// Structured fields (RFC 8941) as far as CMCD and CMSD use them: dictionaries and lists of items with
-// parameters. What is malformed is passed over member by member and counted, never an error of the whole.
+// The part of structured fields (RFC 8941) that CMCD and CMSD use: dictionaries and lists of items with
+// parameters. A malformed member is skipped and counted; it does not invalidate the rest of the field.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,21 +14,26 @@
   std::string text;
   bool operator==(const Token &) const = default;
 };
-using Item = std::variant<double, bool, std::string, Token>; // numbers: RFC 8941's integers and decimals
+// A double holds an integer or a decimal.
+using Item = std::variant<double, bool, std::string, Token>;
 
 struct Member {
-  std::string key; // of a dictionary; empty in a list
+  // The key in a dictionary; empty in a list.
+  std::string key;
   Item value;
   std::vector<std::pair<std::string, Item>> parameters;
 };
 
 struct ParsedField {
   std::vector<Member> members;
+  // The number of members that were skipped.
   int malformed = 0;
 };
 
+// When a key is repeated, the last member of that key is kept.
 ParsedField parse_dictionary(std::string_view text);
 ParsedField parse_list(std::string_view text);
-std::string write_item(const Item &item); // numbers with three decimals at most; bytes outside ASCII as '?'
+// Numbers are rounded to three decimals. Bytes of a string outside printable ASCII are replaced by '?'.
+std::string write_item(const Item &item);
 
 } // namespace snowshore::hints
--- a/tests/hints/test_hints.cpp
+++ b/tests/hints/test_hints.cpp
@@ -1,10 +1,11 @@
+// Tests of reading and writing CMCD and CMSD.
 #include "hints/hints.h"
 
 #include <catch2/catch.hpp>
 
 using namespace snowshore::hints;
 
-TEST_CASE("CMCD: what is malformed or unknown is passed over key by key and counted") {
+TEST_CASE("CMCD: malformed and unknown keys are skipped and counted, the others are read") {
   struct Row {
     std::string text;
     int malformed, unknown;
@@ -35,14 +36,14 @@
   CHECK(back.startup);
   CHECK(back.streaming_format == "d");
   CHECK(back.session_id == "s");
-  std::string flood;
-  for (int i = 0; i < 100000; ++i) flood += "k" + std::to_string(i) + ",";
+  std::string many_keys;
+  for (int i = 0; i < 100000; ++i) many_keys += "k" + std::to_string(i) + ",";
   Cmcd many;
-  parse_cmcd(flood, many);
+  parse_cmcd(many_keys, many);
   CHECK(many.unknown + many.malformed >= 100000);
 }
 
-TEST_CASE("CMSD: load of the nearest server, round trip, nonsense passed over") {
+TEST_CASE("CMSD: the nearest server's load survives a round trip, malformed keys are skipped") {
   CmsdLoad load;
   load.link = 0.7254, load.streams = 12, load.duress = true;
   CmsdLoad back = parse_cmsd("\"far\";com.snowshore-link=9, " + write_cmsd("near \"1\"\r\n", load));
