--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -1,5 +1,6 @@
-// Bytes of the platform's protocols: RTSP, viewers' lines, the channel's frames. Nothing crashes, nothing is
-// read past its end, and what was cut in two reads the same.
+// Fuzzes the parsers of the platform's protocols: RTSP messages, viewers' lines and frames of the discovery
+// channel. Fails on a crash, on a read past the end, and when input that arrives in two pieces is read
+// differently than in one piece.
 #include "feed/frames.h"
 #include "jsonlines/message.h"
 #include "rtsp/message.h"
@@ -9,22 +10,24 @@
 
 using namespace snowshore;
 
-static std::pair<bool, std::size_t> answers(std::string_view all, std::size_t cut) {
+// Each of these reads the input cut in two at `cut` and returns a checksum of what was read; read_rtsp() also
+// returns whether the input was valid.
+static std::pair<bool, std::size_t> read_rtsp(std::string_view all, std::size_t cut) {
   rtsp::MessageReader reader;
-  std::size_t told = 0;
-  bool fine = true;
+  std::size_t sum = 0;
+  bool valid = true;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)})
-    fine = fine && reader.feed(part, [&](const rtsp::Message &message) { told += 1 + message.body.size(); });
-  return {fine, told};
+    valid = valid && reader.feed(part, [&](const rtsp::Message &message) { sum += 1 + message.body.size(); });
+  return {valid, sum};
 }
 
-static std::size_t lines(std::string_view all, std::size_t cut) {
+static std::size_t read_lines(std::string_view all, std::size_t cut) {
   jsonlines::LineReader reader;
   std::size_t sum = 0;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)}) {
     if (!reader.feed(part, [&](std::string_view line) {
-          jsonlines::ParseError fault;
-          auto message = jsonlines::parse_message(line, fault);
+          jsonlines::ParseError error;
+          auto message = jsonlines::parse_message(line, error);
           sum = sum * 31 + line.size() + (message ? 1 : 0);
           return true;
         }))
@@ -33,7 +36,7 @@
   return sum;
 }
 
-static std::size_t events(std::string_view all, std::size_t cut) {
+static std::size_t read_frames(std::string_view all, std::size_t cut) {
   static const feed::Places places{{"a", "b"}, {"k"}};
   feed::FrameReader reader(places);
   std::size_t sum = 0;
@@ -45,10 +48,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
   std::string_view text(reinterpret_cast<const char *>(data), size);
-  auto whole = answers(text, size), cut = answers(text, size / 2);
-  // What can't be read ends both; what came before it may have been told by then where it came alone.
+  auto whole = read_rtsp(text, size), cut = read_rtsp(text, size / 2);
+  // Invalid input must be rejected either way, but a message before the error may be delivered only when it
+  // arrived alone.
   if (whole.first != cut.first || (whole.first && whole.second != cut.second)) std::abort();
-  if (lines(text, size) != lines(text, size / 2)) std::abort();
-  if (events(text, size) != events(text, size / 2)) std::abort();
+  if (read_lines(text, size) != read_lines(text, size / 2)) std::abort();
+  if (read_frames(text, size) != read_frames(text, size / 2)) std::abort();
   return 0;
 }
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -1,5 +1,5 @@
-// Bytes from the network: HTTP messages, hints, report lines. Nothing crashes, nothing is read past its end,
-// and what was cut in two reads the same.
+// Fuzzes the parsers of network input: HTTP messages, CMCD and CMSD, and report lines. Fails on a crash, on a
+// read past the end, and when input that arrives in two pieces is read differently than in one piece.
 #include "hints/hints.h"
 #include "http/message.h"
 #include "serverwire/protocol.h"
@@ -9,7 +9,8 @@
 
 using namespace snowshore;
 
-static int statuses(std::string_view all, std::size_t cut, http::MessageReader::Kind kind) {
+// Returns a number that depends on the messages read and on the failure, with the input cut in two at `cut`.
+static int read_messages(std::string_view all, std::size_t cut, http::MessageReader::Kind kind) {
   http::MessageReader reader(kind, {256, 64});
   int sum = 0;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)}) {
@@ -31,8 +32,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
   std::string_view text(reinterpret_cast<const char *>(data), size);
   for (auto kind : {http::MessageReader::Kind::request, http::MessageReader::Kind::response}) {
-    int whole = statuses(text, text.size(), kind);
-    if (whole != statuses(text, text.size() / 2, kind)) std::abort();
+    int whole = read_messages(text, text.size(), kind);
+    if (whole != read_messages(text, text.size() / 2, kind)) std::abort();
   }
   hints::Cmcd hints;
   hints::parse_cmcd(text, hints);
