--- a/src/records/grammar.h
+++ b/src/records/grammar.h
@@ -1,4 +1,4 @@
-// The grammar of record files, as PEGTL rules; the tree's nodes are the rules marked in Kept.
+// The grammar of record files as PEGTL rules. The parse tree has a node for each rule that Kept lists.
 #pragma once
 #include <tao/pegtl.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
@@ -10,7 +10,7 @@
 struct Comment : p::seq<p::two<'/'>, p::until<p::at<p::eolf>>> {};
 struct Inline : p::star<p::one<' ', '\t', '\r'>> {};
 struct Space : p::star<p::sor<p::one<' ', '\t', '\r', '\n'>, Comment>> {};
-// A comma or the end of a line ends a member, as in CUE.
+// As in CUE, a comma or the end of a line ends a member.
 struct Separator : p::seq<Inline, p::sor<p::one<','>, p::seq<p::opt<Comment>, p::one<'\n'>>>, Space,
                           p::opt<p::one<','>, Space>> {};
 
@@ -58,7 +58,7 @@
 struct Package : p::seq<p::keyword<'p', 'a', 'c', 'k', 'a', 'g', 'e'>, Inline, p::identifier, Separator> {};
 struct Member : p::sor<Ellipsis, Pattern, FieldRule> {};
 struct Body : Members {};
-// A whole file may also be one struct in braces, as JSON is.
+// A file may also consist of one struct in braces, as a JSON document does.
 struct Braced : p::seq<Space, Struct, Space> {};
 struct File
     : p::must<p::opt<p::utf8::bom>, Space, p::opt<Package>, p::sor<p::seq<Braced, p::eof>, Body>, p::eof> {};
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -19,9 +19,10 @@
 using Node = tao::pegtl::parse_tree::node;
 using Kind = Value::Kind;
 
-constexpr std::size_t kMaxNesting = 64;         // brackets and labels within each other
-constexpr std::size_t kMaxFileBytes = 16 << 20; // bytes of a file
-constexpr std::size_t kMaxDisjuncts = 256;      // alternatives of one value
+// Limits nested brackets plus the labels before a value ("a: b: c:").
+constexpr std::size_t kMaxNesting = 64;
+constexpr std::size_t kMaxFileBytes = 16 << 20;
+constexpr std::size_t kMaxDisjuncts = 256;
 
 std::string join_lines(const Diagnostics &diagnostics) {
   std::string out;
@@ -35,16 +36,22 @@
       Diagnostics{{std::move(location), std::move(path), std::move(expected), std::move(found)}});
 }
 
-// Guards the stack: text is refused before it is parsed when it nests deeper than any record does.
+// Rejects files that are too large or nested too deeply. The parser and the evaluator recurse, so this check
+// runs before parsing and bounds the stack that they use.
 void check_nesting(const Source &source) {
   if (source.text.size() > kMaxFileBytes)
-    throw_error({source.name}, "", "a file of " + std::to_string(kMaxFileBytes) + " bytes at most",
+    throw_error({source.name}, "", "a file of at most " + std::to_string(kMaxFileBytes) + " bytes",
                 std::to_string(source.text.size()));
   std::size_t depth = 0, labels = 0, line = 1, line_start = 0;
   bool in_string = false;
   for (std::size_t i = 0; i < source.text.size(); ++i) {
     char c = source.text[i];
-    if (c == '\n') ++line, line_start = i + 1, labels = 0, in_string = false;
+    if (c == '\n') {
+      ++line;
+      line_start = i + 1;
+      labels = 0;
+      in_string = false;
+    }
     if (in_string && c == '\\') ++i;
     if (c == '"') in_string = !in_string;
     if (in_string) continue;
@@ -52,18 +59,23 @@
       while (i + 1 < source.text.size() && source.text[i + 1] != '\n') ++i;
       continue;
     }
-    if (c == '{' || c == '[' || c == '(') ++depth, labels = 0;
+    if (c == '{' || c == '[' || c == '(') {
+      ++depth;
+      labels = 0;
+    }
     if ((c == '}' || c == ']' || c == ')') && depth) --depth;
     if (c == ',') labels = 0;
     if (c == ':') ++labels;
     if (depth + labels > kMaxNesting)
       throw_error({source.name, line, i - line_start + 1}, "",
-                  "nesting of " + std::to_string(kMaxNesting) + " at most", "more");
+                  "nesting of at most " + std::to_string(kMaxNesting) + " levels", "more");
   }
 }
 
+// Parses sources and evaluates their top-level fields and definitions.
 class Evaluator {
  public:
+  // Throws RecordError at the first syntax error.
   void add(const Source &source, bool is_schema) {
     check_nesting(source);
     auto input = std::make_unique<tao::pegtl::memory_input<>>(source.text, source.name);
@@ -78,25 +90,26 @@
                   rest.empty() ? "the end" : "'" + rest + "'");
     }
     for (const auto &node : tree->children) {
-      const Node &body = *node; // Body, or a Struct in braces
+      const Node &body = *node; // a Body, or the Struct of a file in braces
       for (const auto &member : body.children) declare(*member, is_schema);
     }
     trees_.push_back(std::move(tree));
     inputs_.push_back(std::move(input));
   }
 
-  // The unified value of all regular top-level fields of user files, or of schema and files.
-  ValuePtr body(bool of_schema, Diagnostics &diagnostics) {
+  // Returns a struct of the top-level fields, without the definitions, that the schema (of_schema) or the
+  // other sources declare.
+  ValuePtr evaluate_top_level(bool of_schema, Diagnostics &diagnostics) {
     auto out = std::make_shared<Value>();
     out->kind = Kind::structure;
     for (const auto &[name, declarations] : declarations_) {
       if (name.starts_with('#')) continue;
       ValuePtr value;
       FieldKind kind = FieldKind::optional;
-      for (const Declaration &one : declarations) {
-        if (one.is_schema != of_schema) continue;
-        ValuePtr next = field_value(*one.node, name, diagnostics);
-        if (one.kind == FieldKind::regular) kind = FieldKind::regular;
+      for (const Declaration &declaration : declarations) {
+        if (declaration.is_schema != of_schema) continue;
+        ValuePtr next = field_value(*declaration.node, name, diagnostics);
+        if (declaration.kind == FieldKind::regular) kind = FieldKind::regular;
         value = value ? unify(value, next, name, diagnostics) : next;
       }
       if (value) out->fields[name] = {value, kind};
@@ -104,16 +117,16 @@
     return out;
   }
 
-  ValuePtr definition(const std::string &name, const SourceLocation &from, Diagnostics &diagnostics) {
-    if (auto done = evaluated_.find(name); done != evaluated_.end()) return done->second;
+  // Returns the value of a top-level field or definition, evaluated at its first use. `from` is the location
+  // of the reference.
+  ValuePtr evaluate_reference(const std::string &name, const SourceLocation &from, Diagnostics &diagnostics) {
+    if (auto cached = evaluated_.find(name); cached != evaluated_.end()) return cached->second;
     auto it = declarations_.find(name);
-    if (it == declarations_.end())
-      throw_error(from, "", "a name that stands at the top level of a file", name);
-    if (!in_progress_.insert(name).second)
-      throw_error(from, "", "no reference that leads back to itself", name);
+    if (it == declarations_.end()) throw_error(from, "", "a name declared at the top level of a file", name);
+    if (!in_progress_.insert(name).second) throw_error(from, "", "no circular reference", name);
     ValuePtr value;
-    for (const Declaration &one : it->second) {
-      ValuePtr next = field_value(*one.node, name, diagnostics);
+    for (const Declaration &declaration : it->second) {
+      ValuePtr next = field_value(*declaration.node, name, diagnostics);
       value = value ? unify(value, next, name, diagnostics) : next;
     }
     in_progress_.erase(name);
@@ -128,14 +141,16 @@
     FieldKind kind;
   };
 
+  // Derives what the parser expected from the message of PEGTL, which names the rule or character that did
+  // not match: "parse error matching ...::Rule". Characters appear quoted or as their codes.
   static std::string expected_at(const tao::pegtl::parse_error &error) {
-    std::string rule(error.message()); // "parse error matching ...::Rule"
+    std::string rule(error.message());
     auto mentions = [&](std::string_view part) { return rule.find(part) != std::string::npos; };
     if (mentions("::eof")) return "a field, or the end";
     if (mentions("one<'}'>") || mentions("'}'") || mentions("125")) return "a field or '}'";
     if (mentions("']'") || mentions("93")) return "an item or ']'";
     if (mentions("')'") || mentions("41")) return "')'";
-    if (mentions("'\"'") || mentions("34")) return "the text's closing quote";
+    if (mentions("'\"'") || mentions("34")) return "the string's closing quote";
     return "a value";
   }
 
@@ -144,9 +159,11 @@
     return {at.source, at.line, at.column};
   }
 
+  // Decodes a string literal into UTF-8.
   static std::string unescape(const Node &node) {
     std::string_view raw = node.string_view();
-    raw.remove_prefix(1), raw.remove_suffix(1);
+    raw.remove_prefix(1);
+    raw.remove_suffix(1);
     std::string out;
     for (std::size_t i = 0; i < raw.size(); ++i) {
       if (raw[i] != '\\') {
@@ -182,12 +199,12 @@
     return out;
   }
 
-  static std::string label_of(const Node &field) {
+  static std::string field_name(const Node &field) {
     const Node &inner = *field.children[0]->children[0];
     return inner.is_type<g::Text>() ? unescape(inner) : std::string(inner.string_view());
   }
 
-  static FieldKind kind_of(const Node &field) {
+  static FieldKind field_kind(const Node &field) {
     if (!field.children[1]->is_type<g::Mark>()) return FieldKind::regular;
     return field.children[1]->string_view() == "?" ? FieldKind::optional : FieldKind::required;
   }
@@ -196,14 +213,15 @@
     if (!member.is_type<g::FieldRule>())
       throw_error(location_of(member), "", "a field at the top level",
                   std::string(member.string_view().substr(0, 24)));
-    declarations_[label_of(member)].push_back({&member, is_schema, kind_of(member)});
+    declarations_[field_name(member)].push_back({&member, is_schema, field_kind(member)});
   }
 
+  // Evaluates what follows a label: an expression, another label as in "a: b: c", or "[string]: c".
   ValuePtr field_value(const Node &field, const std::string &path, Diagnostics &diagnostics) {
     const Node &value = *field.children.back();
     if (!value.is_type<g::FieldRule>() && !value.is_type<g::Pattern>())
       return evaluate_node(value, path, diagnostics);
-    auto out = std::make_shared<Value>(); // a: b: c, or a: [string]: c
+    auto out = std::make_shared<Value>();
     out->kind = Kind::structure;
     out->location = location_of(value);
     if (value.is_type<g::Pattern>()) {
@@ -214,13 +232,14 @@
     return out;
   }
 
+  // Adds a field to a struct, or unifies it with the field of the same name.
   void add_field(Value &into, const Node &field, const std::string &path, Diagnostics &diagnostics) {
-    std::string name = label_of(field), here = join_path(path, name);
-    Field next{field_value(field, here, diagnostics), kind_of(field)};
+    std::string name = field_name(field), child_path = join_path(path, name);
+    Field next{field_value(field, child_path, diagnostics), field_kind(field)};
     auto [it, added] = into.fields.try_emplace(name, next);
     if (added) return;
     if (next.kind == FieldKind::regular) it->second.kind = FieldKind::regular;
-    it->second.value = unify(it->second.value, next.value, here, diagnostics);
+    it->second.value = unify(it->second.value, next.value, child_path, diagnostics);
   }
 
   ValuePtr evaluate_node(const Node &node, const std::string &path, Diagnostics &diagnostics) {
@@ -230,7 +249,8 @@
       if (node.children.size() == 1 && !node.children[0]->children[0]->is_type<g::Preferred>())
         return evaluate_node(*node.children[0], path, diagnostics);
       if (node.children.size() > kMaxDisjuncts)
-        throw_error(out->location, path, std::to_string(kMaxDisjuncts) + " alternatives at most", "more");
+        throw_error(out->location, path, "at most " + std::to_string(kMaxDisjuncts) + " alternatives",
+                    "more");
       out->kind = Kind::disjunction;
       for (const auto &child : node.children)
         out->disjuncts.push_back(
@@ -245,13 +265,13 @@
         value = unify(value, evaluate_node(*node.children[i], path, diagnostics), path, diagnostics);
       return value;
     }
-    if (node.is_type<g::BoundRule>()) return bound(node, std::move(out), path, diagnostics);
+    if (node.is_type<g::BoundRule>()) return evaluate_bound(node, std::move(out), path, diagnostics);
     if (node.is_type<g::Text>()) {
       out->kind = Kind::string;
       out->text = unescape(node);
       return out;
     }
-    if (node.is_type<g::Number>()) return number(node, std::move(out), path);
+    if (node.is_type<g::Number>()) return evaluate_number(node, std::move(out), path);
     if (node.is_type<g::Struct>()) {
       out->kind = Kind::structure;
       for (const auto &member : node.children) {
@@ -269,24 +289,24 @@
     if (node.is_type<g::List>()) {
       out->kind = Kind::list;
       for (const auto &item : node.children) {
-        std::string here = path + "[" + std::to_string(out->items.size()) + "]";
+        std::string child_path = path + "[" + std::to_string(out->items.size()) + "]";
         if (out->rest)
-          throw_error(location_of(*item), path, "... as the last of a list",
+          throw_error(location_of(*item), path, "... as the last item of a list",
                       std::string(item->string_view()));
         if (!item->is_type<g::Rest>()) {
-          out->items.push_back(evaluate_node(*item, here, diagnostics));
+          out->items.push_back(evaluate_node(*item, child_path, diagnostics));
         } else {
           out->rest = item->children.empty() ? std::make_shared<Value>()
-                                             : evaluate_node(*item->children[0], here, diagnostics);
+                                             : evaluate_node(*item->children[0], child_path, diagnostics);
         }
       }
       return out;
     }
-    return reference(node, std::move(out), path, diagnostics);
+    return evaluate_name(node, std::move(out), path, diagnostics);
   }
 
-  ValuePtr bound(const Node &node, std::shared_ptr<Value> out, const std::string &path,
-                 Diagnostics &diagnostics) {
+  ValuePtr evaluate_bound(const Node &node, std::shared_ptr<Value> out, const std::string &path,
+                          Diagnostics &diagnostics) {
     constexpr std::pair<std::string_view, Relation> kOperators[] = {
         {">=", Relation::greater_equal}, {">", Relation::greater},    {"<=", Relation::less_equal},
         {"<", Relation::less},           {"!=", Relation::not_equal}, {"=~", Relation::matches},
@@ -296,23 +316,23 @@
     for (const auto &[text, relation] : kOperators) {
       if (text == sign) out->bounds.push_back({relation, operand});
     }
-    bool by_text = sign == "=~" || sign == "!~";
+    bool is_pattern = sign == "=~" || sign == "!~";
     if (operand->kind == Kind::number) {
       out->type_mask = kNumber;
     } else if (operand->kind == Kind::string) {
       out->type_mask = kString;
     } else {
-      throw_error(out->location, path, "a number or a text after " + std::string(sign), describe(*operand));
+      throw_error(out->location, path, "a number or a string after " + std::string(sign), describe(*operand));
     }
     if (sign == "!=") out->type_mask = kAny;
-    if (by_text && operand->kind != Kind::string)
+    if (is_pattern && operand->kind != Kind::string)
       throw_error(out->location, path, "a pattern", describe(*operand));
-    if (by_text && !RE2(operand->text, RE2::Quiet).ok())
+    if (is_pattern && !RE2(operand->text, RE2::Quiet).ok())
       throw_error(out->location, path, "a regular expression", describe(*operand));
     return out;
   }
 
-  ValuePtr number(const Node &node, std::shared_ptr<Value> out, const std::string &path) {
+  ValuePtr evaluate_number(const Node &node, std::shared_ptr<Value> out, const std::string &path) {
     out->kind = Kind::number;
     out->text = node.string();
     out->is_int = out->text.find_first_of(".eE") == std::string::npos;
@@ -320,12 +340,13 @@
     if (error != std::errc() || !std::isfinite(out->number))
       throw_error(out->location, path, "a number within a double's range", out->text);
     if (out->is_int && std::fabs(out->number) > 9007199254740992.0)
-      throw_error(out->location, path, "an int of 53 bits at most", out->text);
+      throw_error(out->location, path, "an int of at most 53 bits", out->text);
     return out;
   }
 
-  ValuePtr reference(const Node &node, std::shared_ptr<Value> out, const std::string &path,
-                     Diagnostics &diagnostics) {
+  // Evaluates a name: a type, a literal, or a reference to a top-level name and its fields.
+  ValuePtr evaluate_name(const Node &node, std::shared_ptr<Value> out, const std::string &path,
+                         Diagnostics &diagnostics) {
     std::string first(node.children[0]->string_view());
     constexpr std::pair<std::string_view, unsigned> kTypes[] = {{"int", kInt},     {"number", kNumber},
                                                                 {"float", kFloat}, {"string", kString},
@@ -343,7 +364,7 @@
         return out;
       }
     }
-    ValuePtr value = definition(first, out->location, diagnostics);
+    ValuePtr value = evaluate_reference(first, out->location, diagnostics);
     for (std::size_t i = 1; i < node.children.size(); ++i) {
       auto it = value->fields.find(node.children[i]->string_view());
       if (it == value->fields.end())
@@ -361,11 +382,13 @@
   std::vector<std::unique_ptr<Node>> trees_;
 };
 
+// A unit and its factor to the base unit (seconds, or kilobytes per second).
 struct Unit {
   std::string_view name;
   double factor;
 };
 
+// Parses a number of at least 0 with a unit. Returns NaN for any other text.
 double parse_quantity(std::string_view text, std::span<const Unit> units) {
   double value = 0;
   auto [end, error] =
@@ -399,7 +422,7 @@
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) {
     if (file && file.peek() == std::ifstream::traits_type::eof()) return {name, ""};
-    throw_error({name}, "", "a file that can be read", "none");
+    throw_error({name}, "", "a readable file", "none");
   }
   return {name, text.str()};
 }
@@ -416,7 +439,7 @@
   Evaluator evaluator;
   for (const Source &file : files) evaluator.add(file, false);
   Diagnostics diagnostics;
-  ValuePtr value = evaluator.body(false, diagnostics);
+  ValuePtr value = evaluator.evaluate_top_level(false, diagnostics);
   if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
   return value;
 }
@@ -425,7 +448,8 @@
   Evaluator evaluator;
   evaluator.add(schema, true);
   Diagnostics diagnostics;
-  for (const Source &file : files) { // a file that does not parse hides no other file's errors
+  // All files are parsed even if one has a syntax error, so that the errors of all are reported.
+  for (const Source &file : files) {
     try {
       evaluator.add(file, false);
     } catch (const RecordError &error) {
@@ -433,10 +457,10 @@
     }
   }
   if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
-  ValuePtr wanted = evaluator.definition(std::string(definition), {schema.name}, diagnostics);
-  auto body = std::make_shared<Value>(*evaluator.body(false, diagnostics));
+  ValuePtr schema_value = evaluator.evaluate_reference(std::string(definition), {schema.name}, diagnostics);
+  auto body = std::make_shared<Value>(*evaluator.evaluate_top_level(false, diagnostics));
   body->location = {files.empty() ? schema.name : files.front().name, 1, 1};
-  ValuePtr value = unify(wanted, body, "", diagnostics);
+  ValuePtr value = unify(schema_value, body, "", diagnostics);
   value = make_concrete(value, "", diagnostics);
   if (!diagnostics.empty()) throw RecordError(std::move(diagnostics));
   return Record(value, "");
@@ -471,7 +495,7 @@
 int Record::integer(std::string_view name) const {
   double value = number(name);
   if (value != std::floor(value) || std::fabs(value) > std::numeric_limits<int>::max())
-    at(name).throw_mismatch(join_path(path_, std::string(name)), "a whole number of 31 bits at most",
+    at(name).throw_mismatch(join_path(path_, std::string(name)), "an integer of at most 31 bits",
                             describe(*at(name).value_));
   return static_cast<int>(value);
 }
@@ -481,7 +505,7 @@
 }
 std::string Record::text(std::string_view name) const { return at(name).as_text(); }
 std::string Record::as_text() const {
-  if (value_->kind != Kind::string) throw_mismatch(path_, "a text", describe(*value_));
+  if (value_->kind != Kind::string) throw_mismatch(path_, "a string", describe(*value_));
   return value_->text;
 }
 
--- a/src/records/value.cpp
+++ b/src/records/value.cpp
@@ -11,6 +11,7 @@
 
 using Kind = Value::Kind;
 
+// Writes the text as a string literal of a record file.
 std::string quoted(std::string_view text) {
   std::string out = "\"";
   for (unsigned char c : text) {
@@ -64,21 +65,22 @@
 }
 
 bool satisfies(const Value &v, const Bound &bound) {
-  const Value &o = *bound.operand;
-  bool numbers = v.kind == Kind::number && o.kind == Kind::number;
-  bool strings = v.kind == Kind::string && o.kind == Kind::string;
+  const Value &operand = *bound.operand;
+  bool numbers = v.kind == Kind::number && operand.kind == Kind::number;
+  bool strings = v.kind == Kind::string && operand.kind == Kind::string;
   switch (bound.relation) {
   case Relation::not_equal:
-    return !equal(v, o);
+    return !equal(v, operand);
   case Relation::matches:
-    return strings && RE2::PartialMatch(v.text, o.text);
+    return strings && RE2::PartialMatch(v.text, operand.text);
   case Relation::not_matches:
-    return strings && !RE2::PartialMatch(v.text, o.text);
+    return strings && !RE2::PartialMatch(v.text, operand.text);
   default:
     break;
   }
   if (!numbers && !strings) return false;
-  int order = numbers ? (v.number < o.number ? -1 : v.number > o.number) : v.text.compare(o.text);
+  int order =
+      numbers ? (v.number < operand.number ? -1 : v.number > operand.number) : v.text.compare(operand.text);
   switch (bound.relation) {
   case Relation::greater_equal:
     return order >= 0;
@@ -98,30 +100,32 @@
   return v;
 }
 
+// Reports that a and b exclude each other, and returns bottom.
 ValuePtr conflict(const ValuePtr &a, const ValuePtr &b, const std::string &path, Diagnostics &diagnostics) {
-  // The later written of the two is what a user has in hand; the other says what was expected.
+  // The concrete value, or else the second one, which is written later, is reported as found; the other value
+  // describes what is expected.
   const ValuePtr &found = a->is_concrete() && !b->is_concrete() ? a : b;
-  const ValuePtr &wanted = found == a ? b : a;
-  diagnostics.push_back({found->location, path, describe(*wanted), describe(*found)});
+  const ValuePtr &expected = found == a ? b : a;
+  diagnostics.push_back({found->location, path, describe(*expected), describe(*found)});
   return bottom(found->location);
 }
 
 ValuePtr unify_constraint(const ValuePtr &constraint, const ValuePtr &v, const std::string &path,
                           Diagnostics &diagnostics) {
   if (v->kind == Kind::constraint) {
-    auto both = std::make_shared<Value>(*constraint);
-    both->type_mask &= v->type_mask;
-    both->bounds.insert(both->bounds.end(), v->bounds.begin(), v->bounds.end());
-    if (!both->type_mask) return conflict(constraint, v, path, diagnostics);
-    return both;
+    auto result = std::make_shared<Value>(*constraint);
+    result->type_mask &= v->type_mask;
+    result->bounds.insert(result->bounds.end(), v->bounds.begin(), v->bounds.end());
+    if (!result->type_mask) return conflict(constraint, v, path, diagnostics);
+    return result;
   }
   if (v->kind == Kind::list || v->kind == Kind::structure) {
     if (constraint->type_mask == kAny && constraint->bounds.empty()) return v;
     return conflict(constraint, v, path, diagnostics);
   }
-  bool fits = (type_bit_of(*v) & constraint->type_mask) != 0;
-  for (const Bound &bound : constraint->bounds) fits = fits && satisfies(*v, bound);
-  return fits ? v : conflict(constraint, v, path, diagnostics);
+  bool matches = (type_bit_of(*v) & constraint->type_mask) != 0;
+  for (const Bound &bound : constraint->bounds) matches = matches && satisfies(*v, bound);
+  return matches ? v : conflict(constraint, v, path, diagnostics);
 }
 
 ValuePtr unify_lists(const ValuePtr &a, const ValuePtr &b, const std::string &path,
@@ -133,7 +137,7 @@
   for (std::size_t i = 0; i < size; ++i) {
     const ValuePtr &x = i < a->items.size() ? a->items[i] : a->rest;
     const ValuePtr &y = i < b->items.size() ? b->items[i] : b->rest;
-    std::string here = path + "[" + std::to_string(i) + "]";
+    std::string item_path = path + "[" + std::to_string(i) + "]";
     if (!x || !y) {
       const Value &longer = x ? *a : *b, &shorter = x ? *b : *a;
       diagnostics.push_back({longer.items[i]->location, path,
@@ -141,19 +145,20 @@
                              "a list of " + std::to_string(longer.items.size())});
       return bottom(b->location);
     }
-    out->items.push_back(unify(x, y, here, diagnostics));
+    out->items.push_back(unify(x, y, item_path, diagnostics));
   }
   if (a->rest && b->rest) out->rest = unify(a->rest, b->rest, path + "[...]", diagnostics);
   return out;
 }
 
+// Reports the regular fields of `from` that the closed struct `to` does not have.
 void check_closed(const Value &to, const Value &from, const std::string &path, Diagnostics &diagnostics) {
   if (!to.closed || to.pattern) return;
   for (const auto &[name, field] : from.fields) {
     if (field.kind == FieldKind::regular && !to.fields.contains(name)) {
-      std::string known;
-      for (const auto &[other, unused] : to.fields) known += (known.empty() ? "" : ", ") + other;
-      diagnostics.push_back({field.value->location, join_path(path, name), "one of the fields " + known,
+      std::string allowed;
+      for (const auto &[other, unused] : to.fields) allowed += (allowed.empty() ? "" : ", ") + other;
+      diagnostics.push_back({field.value->location, join_path(path, name), "one of the fields " + allowed,
                              "the field " + name + ", which is not allowed"});
     }
   }
@@ -167,16 +172,16 @@
   out->closed = a->closed || b->closed;
   out->open = a->open && b->open;
   out->location = b->location.line ? b->location : a->location;
-  for (const auto &[name, theirs] : b->fields) {
-    auto [it, added] = out->fields.try_emplace(name, theirs);
+  for (const auto &[name, other] : b->fields) {
+    auto [it, added] = out->fields.try_emplace(name, other);
     if (added) continue;
-    Field &ours = it->second;
-    if (ours.kind == FieldKind::regular || theirs.kind == FieldKind::regular) {
-      ours.kind = FieldKind::regular;
-    } else if (theirs.kind == FieldKind::required) {
-      ours.kind = FieldKind::required;
+    Field &field = it->second;
+    if (field.kind == FieldKind::regular || other.kind == FieldKind::regular) {
+      field.kind = FieldKind::regular;
+    } else if (other.kind == FieldKind::required) {
+      field.kind = FieldKind::required;
     }
-    ours.value = unify(ours.value, theirs.value, join_path(path, name), diagnostics);
+    field.value = unify(field.value, other.value, join_path(path, name), diagnostics);
   }
   if (b->pattern)
     out->pattern = a->pattern ? unify(a->pattern, b->pattern, path + ".*", diagnostics) : b->pattern;
@@ -187,15 +192,15 @@
   return out;
 }
 
-ValuePtr unify_disjunction(const ValuePtr &choice, const ValuePtr &v, const std::string &path,
+ValuePtr unify_disjunction(const ValuePtr &disjunction, const ValuePtr &v, const std::string &path,
                            Diagnostics &diagnostics) {
   auto out = std::make_shared<Value>();
   out->kind = Kind::disjunction;
-  out->location = v->location.line ? v->location : choice->location;
-  auto keep = [&](ValuePtr value, bool is_default) {
-    for (Disjunct &there : out->disjuncts) {
-      if (equal(*there.value, *value)) {
-        there.is_default = there.is_default || is_default;
+  out->location = v->location.line ? v->location : disjunction->location;
+  auto add_disjunct = [&](ValuePtr value, bool is_default) {
+    for (Disjunct &existing : out->disjuncts) {
+      if (equal(*existing.value, *value)) {
+        existing.is_default = existing.is_default || is_default;
         return;
       }
     }
@@ -203,31 +208,34 @@
   };
   bool v_has_default =
       v->kind == Kind::disjunction && std::ranges::any_of(v->disjuncts, [](auto &a) { return a.is_default; });
-  bool ours_has = std::ranges::any_of(choice->disjuncts, [](auto &a) { return a.is_default; });
-  Diagnostics last;
-  for (const Disjunct &ours : choice->disjuncts) {
+  bool disjunction_has_default =
+      std::ranges::any_of(disjunction->disjuncts, [](auto &a) { return a.is_default; });
+  Diagnostics last_failure;
+  for (const Disjunct &disjunct : disjunction->disjuncts) {
     if (v->kind == Kind::disjunction) {
-      for (const Disjunct &theirs : v->disjuncts) {
-        Diagnostics own;
-        ValuePtr both = unify(ours.value, theirs.value, path, own);
-        bool is_default = (ours.is_default || !ours_has) && (theirs.is_default || !v_has_default);
-        if (own.empty()) keep(both, is_default && (ours_has || v_has_default));
-        last = std::move(own);
+      for (const Disjunct &other : v->disjuncts) {
+        Diagnostics attempt;
+        ValuePtr result = unify(disjunct.value, other.value, path, attempt);
+        bool is_default =
+            (disjunct.is_default || !disjunction_has_default) && (other.is_default || !v_has_default);
+        if (attempt.empty()) add_disjunct(result, is_default && (disjunction_has_default || v_has_default));
+        last_failure = std::move(attempt);
       }
       continue;
     }
-    Diagnostics own;
-    ValuePtr both = unify(ours.value, v, path, own);
-    if (own.empty()) keep(both, ours.is_default);
-    // A structure's own faults say more than "none of these".
-    if (!own.empty() && (last.empty() || ours.value->kind == v->kind)) last = std::move(own);
+    Diagnostics attempt;
+    ValuePtr result = unify(disjunct.value, v, path, attempt);
+    if (attempt.empty()) add_disjunct(result, disjunct.is_default);
+    // The diagnostics within a struct tell more than a list of the alternatives.
+    if (!attempt.empty() && (last_failure.empty() || disjunct.value->kind == v->kind))
+      last_failure = std::move(attempt);
   }
   if (out->disjuncts.empty()) {
-    if ((v->kind == Kind::structure || v->kind == Kind::list) && !last.empty()) {
-      diagnostics.insert(diagnostics.end(), last.begin(), last.end());
+    if ((v->kind == Kind::structure || v->kind == Kind::list) && !last_failure.empty()) {
+      diagnostics.insert(diagnostics.end(), last_failure.begin(), last_failure.end());
       return bottom(v->location);
     }
-    return conflict(choice, v, path, diagnostics);
+    return conflict(disjunction, v, path, diagnostics);
   }
   if (out->disjuncts.size() == 1) return out->disjuncts[0].value;
   return out;
@@ -283,7 +291,7 @@
 
 ValuePtr unify(const ValuePtr &a, const ValuePtr &b, const std::string &path, Diagnostics &diagnostics) {
   if (a == b) return a;
-  if (a->kind == Kind::bottom) return a; // its fault has been told
+  if (a->kind == Kind::bottom) return a; // The conflict that led to bottom is reported already.
   if (b->kind == Kind::bottom) return b;
   if (a->kind == Kind::disjunction) return unify_disjunction(a, b, path, diagnostics);
   if (b->kind == Kind::disjunction) return unify_disjunction(b, a, path, diagnostics);
@@ -308,18 +316,18 @@
 
 ValuePtr make_concrete(const ValuePtr &value, const std::string &path, Diagnostics &diagnostics,
                        const SourceLocation &within) {
-  auto open = [&](const std::string &what) {
-    // What is missing is missing in the struct that was written, not in the schema that asks for it.
-    diagnostics.push_back({within.line ? within : value->location, path, what, "nothing that settles it"});
+  auto report = [&](const std::string &expected) {
+    // The location is the struct that lacks the value; the value itself is located in the schema.
+    diagnostics.push_back({within.line ? within : value->location, path, expected, "no concrete value"});
     return bottom(value->location);
   };
-  if (value->kind == Kind::constraint) return open(describe(*value));
+  if (value->kind == Kind::constraint) return report(describe(*value));
   if (value->kind == Kind::disjunction) {
     std::vector<ValuePtr> candidates;
-    for (const Disjunct &one : value->disjuncts) {
-      if (one.is_default) candidates.push_back(one.value);
+    for (const Disjunct &disjunct : value->disjuncts) {
+      if (disjunct.is_default) candidates.push_back(disjunct.value);
     }
-    if (candidates.size() != 1) return open(describe(*value));
+    if (candidates.size() != 1) return report(describe(*value));
     return make_concrete(candidates[0], path, diagnostics, within);
   }
   auto out = std::make_shared<Value>(*value);
@@ -331,11 +339,11 @@
     return f.second.kind == FieldKind::optional || f.first.starts_with('#');
   });
   for (auto &[name, field] : out->fields) {
-    std::string here = join_path(path, name);
+    std::string field_path = join_path(path, name);
     if (field.kind == FieldKind::required)
-      diagnostics.push_back({value->location, here, describe(*field.value), "no such field"});
+      diagnostics.push_back({value->location, field_path, describe(*field.value), "no such field"});
     else
-      field.value = make_concrete(field.value, here, diagnostics, value->location);
+      field.value = make_concrete(field.value, field_path, diagnostics, value->location);
   }
   return out;
 }
--- a/tests/fuzz/fuzz_records.cpp
+++ b/tests/fuzz/fuzz_records.cpp
@@ -1,4 +1,5 @@
-// Any text is read as records or refused with places; what is read renders to text that reads back equal.
+// Evaluates any bytes as a record file. The evaluation succeeds or throws RecordError with diagnostics, and a
+// concrete value renders to text that evaluates to an equal value.
 #include "records/records.h"
 
 #include <cstdint>
@@ -11,11 +12,11 @@
   try {
     ValuePtr value = evaluate(files);
     Diagnostics diagnostics;
-    ValuePtr settled = make_concrete(value, "", diagnostics);
+    ValuePtr concrete = make_concrete(value, "", diagnostics);
     if (!diagnostics.empty()) return 0;
-    Source again[] = {{"again.cue", render(*settled)}};
+    Source rendered[] = {{"again.cue", render(*concrete)}};
     Diagnostics none;
-    if (!equal(*make_concrete(evaluate(again), "", none), *settled) || !none.empty()) std::abort();
+    if (!equal(*make_concrete(evaluate(rendered), "", none), *concrete) || !none.empty()) std::abort();
   } catch (const RecordError &error) {
     if (error.diagnostics.empty()) std::abort();
   }
