--- a/src/model/module_text.h
+++ b/src/model/module_text.h
@@ -1,4 +1,4 @@
-// The built-in module's text; the build makes it from yang/snowshore.yang.
+// The text of the built-in YANG module. The build generates its definition from yang/snowshore.yang.
 #pragma once
 
 namespace snowshore::model {
--- a/src/model/path.h
+++ b/src/model/path.h
@@ -1,6 +1,6 @@
-// Paths into the model's tree as gNMI has them: elements with keys, "*" for any name or key value, "..." for
-// any depth. The text form is the one of gNMI's path conventions: /front/products[name=film]/floor, with
-// \ before a ] or \ within a key's value.
+// Paths into the model's data tree, as gNMI has them: elements with keys, "*" for any name or key value and
+// "..." for any depth. The text form follows gNMI's path conventions, as in /front/products[name=film]/floor;
+// a backslash escapes "]" and "\" within a key's value.
 #pragma once
 #include <map>
 #include <stdexcept>
@@ -11,11 +11,12 @@
 namespace snowshore::model {
 
 enum class ModelErrorKind { unknown_path, invalid_value, constraint_violation };
-struct ModelError : std::runtime_error { // what() names the path
-  ModelError(ModelErrorKind k, std::string at, const std::string &why)
-      : std::runtime_error(at + ": " + why), kind(k), path(std::move(at)), cause(why) {}
+// An error in a path, a value or an edit. what() is "path: reason".
+struct ModelError : std::runtime_error {
+  ModelError(ModelErrorKind error_kind, std::string at, const std::string &why)
+      : std::runtime_error(at + ": " + why), kind(error_kind), path(std::move(at)), reason(why) {}
   ModelErrorKind kind;
-  std::string path, cause;
+  std::string path, reason;
 };
 
 struct PathElement {
@@ -25,11 +26,13 @@
 };
 using Path = std::vector<PathElement>;
 
-Path parse_path(std::string_view text); // throws Fault (unknown_path)
+// Parses the text form; the prefix "snowshore:" of names is dropped. Throws ModelError (unknown_path).
+Path parse_path(std::string_view text);
 std::string path_to_text(const Path &path);
 bool has_wildcard(const Path &path);
-std::string path_to_xpath(const Path &path); // throws Fault where a name could be no identifier
-// Whether a path without wildcards lies at or under what the pattern names.
+// Returns an XPath expression for libyang. Throws ModelError (unknown_path) for a name that is no identifier.
+std::string path_to_xpath(const Path &path);
+// Whether a path without wildcards lies at or below a node that the pattern names.
 bool covers(const Path &pattern, const Path &path);
 
 } // namespace snowshore::model
--- a/tests/model/front_text.h
+++ b/tests/model/front_text.h
@@ -1,4 +1,4 @@
-// A front's record with round figures, and the built-in model, for tests of model and management.
+// A front's record and the built-in model, for the tests of model and management.
 #pragma once
 #include "model/model.h"
 #include "site/front_record.h"
--- a/tests/model/test_model.cpp
+++ b/tests/model/test_model.cpp
@@ -44,32 +44,36 @@
 
 } // namespace
 
-TEST_CASE("the model's defaults are the record's") {
-  Json least = Json::parse(test_model().to_document(read(kFrontRecord).record));
-  // What the record leaves out is left out here too; the model fills it in.
-  Json &front = least["snowshore:front"];
-  Json bare = Json::object();
-  for (const char *name : {"name", "products", "rungs", "rules", "list", "fleet"}) bare[name] = front[name];
-  bare["load"]["fields"] = front["load"]["fields"];
-  bare["fleet"].erase("racks"), bare["fleet"].erase("rack_uplink"), bare["fleet"].erase("weight_meaning");
-  bare["rules"].erase("drain_grace"), bare["rules"].erase("answer_slack");
-  for (Json &product : bare["products"]) {
+TEST_CASE("the defaults of the YANG model equal those of the record schema") {
+  Json full = Json::parse(test_model().to_document(read(kFrontRecord).record));
+  // Removes what the record leaves out too, so that the model has to supply it.
+  Json &front = full["snowshore:front"];
+  Json minimal = Json::object();
+  for (const char *name : {"name", "products", "rungs", "rules", "list", "fleet"})
+    minimal[name] = front[name];
+  minimal["load"]["fields"] = front["load"]["fields"];
+  minimal["fleet"].erase("racks");
+  minimal["fleet"].erase("rack_uplink");
+  minimal["fleet"].erase("weight_meaning");
+  minimal["rules"].erase("drain_grace");
+  minimal["rules"].erase("answer_slack");
+  for (Json &product : minimal["products"]) {
     for (const char *name : {"importance", "set_up", "floor", "rate_factor"}) product.erase(name);
   }
-  CHECK(Json::parse(test_model().validate(Json{{"snowshore:front", bare}}.dump())) == least);
+  CHECK(Json::parse(test_model().validate(Json{{"snowshore:front", minimal}}.dump())) == full);
 }
 
-TEST_CASE("generated records become documents and records again without loss") {
-  std::minstd_rand chance(11);
-  auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+TEST_CASE("generated records survive the conversion to a document and back") {
+  std::minstd_rand random(11);
+  auto pick = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
   auto time = [&] {
     const char *units[] = {"us", "ms", "s", "m", "h"};
     return "\"" + std::to_string(1 + pick(5000)) + (pick(2) ? "" : "." + std::to_string(pick(10))) +
            units[1 + pick(4)] + "\"";
   };
-  auto rate = [&](int least) {
+  auto rate = [&](int minimum) {
     const char *units[] = {"kB/s", "MB/s", "kbit/s", "Mbit/s"};
-    return "\"" + std::to_string(least) + "." + std::to_string(pick(1000)) + units[pick(4)] + "\"";
+    return "\"" + std::to_string(minimum) + "." + std::to_string(pick(1000)) + units[pick(4)] + "\"";
   };
   for (int i = 0; i < 150; ++i) {
     int rungs = 1 + pick(6), products = 1 + pick(4);
@@ -108,7 +112,7 @@
   }
 }
 
-TEST_CASE("edits: what is taken, in one table") {
+TEST_CASE("edits: accepted ones, with the value that results") {
   const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     std::vector<Edit> edits;
@@ -140,24 +144,24 @@
            Row{{update("/", {{"snowshore:front", {{"limits", {{"connections", 9}}}}}})},
                "/front/limits/connections",
                "9"},
-           // Each alone would break a constraint; together they hold.
+           // Each edit alone violates a constraint; both together satisfy it.
            Row{{update("/front/products[name=film]/time_limit", 0.5),
                 update("/front/products[name=film]/first_frame_target", 0.4)},
                "/front/products[name=film]/time_limit",
                "\"0.5\""},
        }) {
     CAPTURE(row.path);
-    std::string after = test_model().edit(document, row.edits);
-    CHECK(value_at(after, row.path) == row.value);
-    CHECK(test_model().edit(after, {}) == after);
+    std::string edited = test_model().edit(document, row.edits);
+    CHECK(value_at(edited, row.path) == row.value);
+    CHECK(test_model().edit(edited, {}) == edited);
   }
-  std::string same = test_model().edit(
+  std::string replaced = test_model().edit(
       document, std::vector{replace("/front/products[name=film]",
                                     Json::parse(document)["snowshore:front"]["products"][0])});
-  CHECK(same == document); // the entry keeps its place
+  CHECK(replaced == document); // A replaced entry keeps its position.
 }
 
-TEST_CASE("edits: what is refused, with kind and path") {
+TEST_CASE("edits: rejected ones, with the kind of the error and the path") {
   const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     Edit edit;
@@ -194,7 +198,7 @@
     CAPTURE(path_to_text(row.edit.path), row.edit.value.dump(-1, ' ', true, Json::error_handler_t::replace));
     try {
       test_model().edit(document, {&row.edit, 1});
-      FAIL("was taken");
+      FAIL("the edit was accepted");
     } catch (const ModelError &error) {
       CAPTURE(error.what());
       CHECK(error.kind == row.kind);
@@ -203,12 +207,12 @@
   }
 }
 
-TEST_CASE("what a change touches, and when that can be taken") {
+TEST_CASE("diff lists the changed paths and when each change takes effect") {
   const std::string document = test_model().to_document(read(kFrontRecord).record);
   struct Row {
     Edit edit;
     const char *path;
-    TakesEffect when;
+    TakesEffect takes_effect;
   };
   using enum TakesEffect;
   for (const Row &row :
@@ -223,16 +227,16 @@
     auto changed = test_model().diff(document, test_model().edit(document, {&row.edit, 1}));
     auto found = std::ranges::find(changed, row.path, &Difference::path);
     REQUIRE(found != changed.end());
-    CHECK(found->takes_effect == row.when);
+    CHECK(found->takes_effect == row.takes_effect);
   }
-  Json turned = Json::parse(document);
-  std::swap(turned["snowshore:front"]["products"][0], turned["snowshore:front"]["products"][1]);
-  auto changed = test_model().diff(document, test_model().validate(turned.dump()));
+  Json reordered = Json::parse(document);
+  std::swap(reordered["snowshore:front"]["products"][0], reordered["snowshore:front"]["products"][1]);
+  auto changed = test_model().diff(document, test_model().validate(reordered.dump()));
   REQUIRE(changed.size() == 1);
-  CHECK(changed[0].takes_effect == drained); // the order alone
+  CHECK(changed[0].takes_effect == drained); // Only the order of the list differs.
 }
 
-TEST_CASE("paths: text, wildcards, and what they cover") {
+TEST_CASE("paths: text form, wildcards and covers()") {
   for (const char *text :
        {"/", "/front/products[name=film]/floor", "/front/.../name", "/a[k=x\\]y\\\\z]/b", "/*/x"})
     CHECK(path_to_text(parse_path(text)) == text);
