--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,37 +13,43 @@
 
 namespace {
 
-constexpr char kRevisionPrefix[] = "revision/", kRevisionsEnd[] = "revision0"; // '0' comes after '/'
+// The keys of revisions lie between the two: '0' is the character after '/'.
+constexpr char kRevisionPrefix[] = "revision/", kRevisionsEnd[] = "revision0";
 constexpr char kSubscriberPrefix[] = "subscriber/";
 
-std::string revision_key(std::uint64_t number) { // keys in the order of their numbers
+// The zero-padded number makes the order of the keys that of the numbers.
+std::string revision_key(std::uint64_t number) {
   char key[40];
   std::snprintf(key, sizeof key, "%s%020llu", kRevisionPrefix, static_cast<unsigned long long>(number));
   return key;
 }
 
+// Throws StoreError unless the operation succeeded.
 void check(const rocksdb::Status &status, const char *operation) {
-  if (!status.ok()) throw StoreError(std::string("the store, ") + operation + ": " + status.ToString());
+  if (!status.ok()) throw StoreError(std::string("store: ") + operation + ": " + status.ToString());
 }
 
-std::string serialize(const Revision &r) {
-  return Json{{"number", r.number},     {"document", r.document},  {"user", r.user},
-              {"cause", r.cause},       {"at", r.committed_at},    {"confirm_by", r.confirm_deadline},
-              {"back_to", r.revert_to}, {"commit_id", r.commit_id}}
+// Text that is not valid UTF-8 is replaced, so that a client's cause cannot make the dump throw.
+std::string serialize(const Revision &revision) {
+  return Json{{"number", revision.number},     {"document", revision.document},
+              {"user", revision.user},         {"cause", revision.cause},
+              {"at", revision.committed_at},   {"confirm_by", revision.confirm_deadline},
+              {"back_to", revision.revert_to}, {"commit_id", revision.commit_id}}
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 Revision deserialize(const std::string &key, const std::string &text) {
   try {
-    Json j = Json::parse(text);
-    Revision r{j.at("number"), j.at("document"),   j.at("user"),    j.at("cause"),
-               j.at("at"),     j.at("confirm_by"), j.at("back_to"), j.at("commit_id")};
-    if (revision_key(r.number) == key) return r;
+    Json json = Json::parse(text);
+    Revision revision{json.at("number"), json.at("document"),   json.at("user"),    json.at("cause"),
+                      json.at("at"),     json.at("confirm_by"), json.at("back_to"), json.at("commit_id")};
+    if (revision_key(revision.number) == key) return revision;
   } catch (const Json::exception &) {
   }
-  throw StoreError("the store holds something else than a revision at " + key);
+  throw StoreError("store: the value at " + key + " is not a revision");
 }
 
+// Reads all revisions in the order of their numbers and checks that none is missing.
 std::vector<Revision> read_revision_range(rocksdb::DB &db) {
   std::vector<Revision> out;
   std::unique_ptr<rocksdb::Iterator> iterator(db.NewIterator(rocksdb::ReadOptions()));
@@ -51,7 +57,7 @@
        iterator->Next()) {
     out.push_back(deserialize(iterator->key().ToString(), iterator->value().ToString()));
     if (out.size() > 1 && out[out.size() - 2].number + 1 != out.back().number)
-      throw StoreError("the history lacks revision " + std::to_string(out[out.size() - 2].number + 1));
+      throw StoreError("store: the history lacks revision " + std::to_string(out[out.size() - 2].number + 1));
   }
   check(iterator->status(), "reading the history");
   return out;
@@ -60,8 +66,9 @@
 rocksdb::Options database_options() {
   rocksdb::Options options;
   options.create_if_missing = true;
-  options.write_buffer_size =
-      4 << 20; // a few hundred revisions; replaying the log is what recovery waits for
+  // Holds a few hundred revisions. Recovery replays the write-ahead log, so a small buffer keeps recovery
+  // short.
+  options.write_buffer_size = 4 << 20;
   options.max_background_jobs = 2;
   options.keep_log_file_num = 2;
   options.max_log_file_size = 1 << 20;
@@ -81,7 +88,8 @@
   rocksdb::DB *db = nullptr;
   check(rocksdb::DB::Open(database_options(), folder_, &db), "opening");
   db_.reset(db);
-  // A smaller number to keep than before, or a crash between: what is older goes now.
+  // Deletes older revisions: max_revisions_ may be smaller than at the last start, or a crash may have left
+  // them.
   std::unique_ptr<rocksdb::Iterator> last(db_->NewIterator(rocksdb::ReadOptions()));
   last->SeekForPrev(kRevisionsEnd);
   if (!last->Valid() || !last->key().starts_with(kRevisionPrefix)) return;
@@ -90,7 +98,7 @@
   if (newest > max_revisions_)
     check(db_->DeleteRange(rocksdb::WriteOptions(), db_->DefaultColumnFamily(), kRevisionPrefix,
                            revision_key(newest - max_revisions_ + 1)),
-          "dropping old revisions");
+          "deleting old revisions");
 }
 
 void Store::reopen() {
@@ -100,12 +108,12 @@
 }
 
 std::vector<Revision> Store::read_revisions() const {
-  if (!db_) throw StoreError("the store is shut");
+  if (!db_) throw StoreError("the store is not open");
   return read_revision_range(*db_);
 }
 
 void Store::append(const Revision &revision) {
-  if (!db_) throw StoreError("the store is shut");
+  if (!db_) throw StoreError("the store is not open");
   rocksdb::WriteBatch batch;
   check(batch.Put(revision_key(revision.number), serialize(revision)), "writing a revision");
   if (revision.number > max_revisions_)
@@ -116,18 +124,18 @@
 }
 
 void Store::put(const std::string &key, const std::string &value) {
-  if (!db_) throw StoreError("the store is shut");
+  if (!db_) throw StoreError("the store is not open");
   rocksdb::WriteOptions durable;
   durable.sync = true;
-  check(db_->Put(durable, key, value), "writing");
+  check(db_->Put(durable, key, value), "writing a value");
 }
 
 std::optional<std::string> Store::get(const std::string &key) const {
-  if (!db_) throw StoreError("the store is shut");
+  if (!db_) throw StoreError("the store is not open");
   std::string value;
   rocksdb::Status status = db_->Get(rocksdb::ReadOptions(), key, &value);
   if (status.IsNotFound()) return std::nullopt;
-  check(status, "reading");
+  check(status, "reading a value");
   return value;
 }
 
@@ -135,14 +143,14 @@
 void Store::put_text(const std::string &name, const std::string &text) { put("text/" + name, text); }
 
 std::map<std::string, std::uint64_t> Store::positions() const {
-  if (!db_) throw StoreError("the store is shut");
+  if (!db_) throw StoreError("the store is not open");
   std::map<std::string, std::uint64_t> out;
   std::unique_ptr<rocksdb::Iterator> iterator(db_->NewIterator(rocksdb::ReadOptions()));
   for (iterator->Seek(kSubscriberPrefix); iterator->Valid() && iterator->key().starts_with(kSubscriberPrefix);
        iterator->Next())
     out[iterator->key().ToString().substr(sizeof kSubscriberPrefix - 1)] =
         std::strtoull(iterator->value().ToString().c_str(), nullptr, 10);
-  check(iterator->status(), "reading positions");
+  check(iterator->status(), "reading subscriber positions");
   return out;
 }
 
@@ -154,9 +162,9 @@
   rocksdb::DB *db = nullptr;
   rocksdb::Options read_only_options = database_options();
   read_only_options.create_if_missing = false;
-  check(rocksdb::DB::OpenForReadOnly(read_only_options, folder, &db), "opening to read");
-  std::unique_ptr<rocksdb::DB> owned(db);
-  return read_revision_range(*owned);
+  check(rocksdb::DB::OpenForReadOnly(read_only_options, folder, &db), "opening read-only");
+  std::unique_ptr<rocksdb::DB> owner(db);
+  return read_revision_range(*owner);
 }
 
 } // namespace snowshore::store
--- a/tests/store/test_store.cpp
+++ b/tests/store/test_store.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("the history comes back after a shutdown, the newest of a number in force, the oldest dropped") {
+TEST_CASE("a reopened store has the newest revisions and the last form of a revision written twice") {
   Folder folder;
   {
     Store store(folder.name, 20);
@@ -31,8 +31,8 @@
     last.confirm_deadline = 99;
     store.append(last);
     store.put_position("noc", 17);
-    CHECK_THROWS_AS(Store(folder.name, 20), StoreError);            // one process at a time
-    CHECK(Store::read_history_read_only(folder.name).size() == 20); // but another may look
+    CHECK_THROWS_AS(Store(folder.name, 20), StoreError);            // A second owner is rejected.
+    CHECK(Store::read_history_read_only(folder.name).size() == 20); // A reader is not.
   }
   Store store(folder.name, 20);
   auto history = store.read_revisions();
@@ -45,7 +45,7 @@
   CHECK(store.get_text("records").empty());
 }
 
-TEST_CASE("fewer revisions kept than before: the older ones go at the opening") {
+TEST_CASE("a store opened with a smaller limit deletes the older revisions") {
   Folder folder;
   {
     Store store(folder.name, 50);
@@ -58,7 +58,7 @@
   CHECK(store.read_revisions().front().number == 30);
 }
 
-TEST_CASE("killed in the middle of writing: what had returned is there, whole and without a gap") {
+TEST_CASE("after a kill during writes, every append that had returned is there and none is missing between") {
   for (int round = 0; round < 5; ++round) {
     Folder folder;
     int pipe_ends[2];
@@ -90,34 +90,34 @@
   }
 }
 
-TEST_CASE("a full disk refuses the write by name; with room again the store goes on from what it had") {
+TEST_CASE("on a full disk a write fails with its name; with space again the store continues after reopen") {
   Folder folder;
   Store store(folder.name, 1000);
   store.append(revision(1));
-  signal(SIGXFSZ, SIG_IGN); // the limit on a file's size stands in for the disk's end
+  signal(SIGXFSZ, SIG_IGN); // A limit on the file size simulates a full disk.
   rlimit before{};
   getrlimit(RLIMIT_FSIZE, &before);
-  rlimit tight = before;
-  tight.rlim_cur = 20000;
-  setrlimit(RLIMIT_FSIZE, &tight);
-  std::uint64_t taken = 1;
-  std::string why;
+  rlimit limited = before;
+  limited.rlim_cur = 20000;
+  setrlimit(RLIMIT_FSIZE, &limited);
+  std::uint64_t written = 1;
+  std::string message;
   try {
-    for (; taken < 100; ++taken) store.append(revision(taken + 1, std::string(3000, 'x')));
+    for (; written < 100; ++written) store.append(revision(written + 1, std::string(3000, 'x')));
   } catch (const StoreError &error) {
-    why = error.what();
+    message = error.what();
   }
   setrlimit(RLIMIT_FSIZE, &before);
-  CHECK(why.find("writing a revision") != std::string::npos);
+  CHECK(message.find("writing a revision") != std::string::npos);
   store.reopen();
   auto history = store.read_revisions();
-  CHECK(history.size() >= taken);
-  CHECK(history.size() <= taken + 1);
+  CHECK(history.size() >= written);
+  CHECK(history.size() <= written + 1);
   store.append(revision(history.back().number + 1));
   CHECK(store.read_revisions().size() == history.size() + 1);
 }
 
-TEST_CASE("a history that was tampered with is told, never read as something else") {
+TEST_CASE("a history with a gap and a damaged database are errors") {
   Folder folder;
   {
     Store store(folder.name, 1000);
