--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -24,22 +24,26 @@
 using model::path_to_text;
 using model::PathValue;
 
-struct Given { // by the command line
+// The options of the command line; each command uses some of them.
+struct Options {
   management::Target target;
   std::string path = "/", value, type = "all", cause, commit_id, store;
   std::vector<std::string> files, more_edits;
   std::uint64_t revision = 0, from = 0, to = 0, expected_revision = 0;
-  double confirm_within = 0, sample = 0;
+  double confirm_within = 0, sample_interval = 0;
   bool remove = false, replace = false, cancel = false;
 };
-Given given;
+Options command_line;
 
-Json json_of(const std::string &text) { // JSON, or a text as it stands
+// Parses JSON. Any other text is taken as a string.
+Json parse_value(const std::string &text) {
   Json read = Json::parse(text, nullptr, false);
   return read.is_discarded() ? Json(text) : read;
 }
 
-int refused(const Reply &reply) {
+// Prints the status of a failed call and returns the exit code. gRPC codes that the service does not send
+// have lower-case names.
+int report_error(const Reply &reply) {
   constexpr const char *kCodes[] = {
       "done",      "cancelled",      "unknown",           "INVALID_ARGUMENT",   "timed out",
       "NOT_FOUND", "exists",         "PERMISSION_DENIED", "RESOURCE_EXHAUSTED", "FAILED_PRECONDITION",
@@ -50,8 +54,8 @@
   return 1;
 }
 
-int done(const Reply &reply) {
-  if (!reply.ok()) return refused(reply);
+int report_result(const Reply &reply) {
+  if (!reply.ok()) return report_error(reply);
   std::cout << "revision " << reply.revision << " is in force\n";
   return 0;
 }
@@ -62,95 +66,99 @@
 }
 
 int get() {
-  ManagementClient client(given.target);
+  ManagementClient client(command_line.target);
   std::vector<PathValue> leaves;
-  DataType kind = given.type == "config"  ? DataType::configuration
-                  : given.type == "state" ? DataType::state
-                                          : DataType::all;
-  Reply reply = client.get({parse_path(given.path)}, kind, leaves);
-  if (!reply.ok()) return refused(reply);
+  DataType kind = command_line.type == "config"  ? DataType::configuration
+                  : command_line.type == "state" ? DataType::state
+                                                 : DataType::all;
+  Reply reply = client.get({parse_path(command_line.path)}, kind, leaves);
+  if (!reply.ok()) return report_error(reply);
   print(leaves);
   return 0;
 }
 
 int set() {
-  ManagementClient client(given.target);
+  ManagementClient client(command_line.target);
   std::vector<Edit> edits;
-  Edit::Kind kind = given.remove    ? Edit::Kind::remove
-                    : given.replace ? Edit::Kind::replace
-                                    : Edit::Kind::update;
-  edits.push_back({kind, parse_path(given.path), given.remove ? Json() : json_of(given.value)});
-  for (const std::string &more : given.more_edits) {
-    std::size_t equals = more.rfind('=');
+  Edit::Kind kind = command_line.remove    ? Edit::Kind::remove
+                    : command_line.replace ? Edit::Kind::replace
+                                           : Edit::Kind::update;
+  edits.push_back(
+      {kind, parse_path(command_line.path), command_line.remove ? Json() : parse_value(command_line.value)});
+  for (const std::string &assignment : command_line.more_edits) {
+    std::size_t equals = assignment.rfind('=');
     if (equals == std::string::npos) throw std::runtime_error("--and takes PATH=VALUE");
-    edits.push_back(
-        {Edit::Kind::update, parse_path(more.substr(0, equals)), json_of(more.substr(equals + 1))});
+    edits.push_back({Edit::Kind::update, parse_path(assignment.substr(0, equals)),
+                     parse_value(assignment.substr(equals + 1))});
   }
   management::SetOptions options;
-  options.cause = given.cause;
-  if (given.expected_revision > 0) options.expected_revision = given.expected_revision;
-  if (given.confirm_within > 0) {
+  options.cause = command_line.cause;
+  if (command_line.expected_revision > 0) options.expected_revision = command_line.expected_revision;
+  if (command_line.confirm_within > 0) {
     options.commit = management::SetOptions::Commit::request;
-    options.confirm_within = given.confirm_within;
-    options.commit_id = given.commit_id.empty() ? "cli" : given.commit_id;
+    options.confirm_within = command_line.confirm_within;
+    options.commit_id = command_line.commit_id.empty() ? "cli" : command_line.commit_id;
   }
-  return done(client.set(edits, options));
+  return report_result(client.set(edits, options));
 }
 
 int confirm() {
   management::SetOptions options;
   options.commit =
-      given.cancel ? management::SetOptions::Commit::cancel : management::SetOptions::Commit::confirm;
-  options.commit_id = given.commit_id.empty() ? "cli" : given.commit_id;
-  return done(ManagementClient(given.target).set({}, options));
+      command_line.cancel ? management::SetOptions::Commit::cancel : management::SetOptions::Commit::confirm;
+  options.commit_id = command_line.commit_id.empty() ? "cli" : command_line.commit_id;
+  return report_result(ManagementClient(command_line.target).set({}, options));
 }
 
 int rollback() {
   management::SetOptions options;
-  options.rollback_revision = given.revision;
-  return done(ManagementClient(given.target).set({}, options));
+  options.rollback_revision = command_line.revision;
+  return report_result(ManagementClient(command_line.target).set({}, options));
 }
 
 int watch() {
-  sigset_t ends;
-  sigemptyset(&ends);
-  sigaddset(&ends, SIGINT), sigaddset(&ends, SIGTERM);
-  pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, SIGINT);
+  sigaddset(&signals, SIGTERM);
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   management::Watch::Options options;
-  options.paths = {parse_path(given.path)};
-  options.sample = given.sample;
-  management::Watch watch(given.target, options, [](const std::string &path, const Json *value) {
+  options.paths = {parse_path(command_line.path)};
+  options.sample_interval = command_line.sample_interval;
+  management::Watch watch(command_line.target, options, [](const std::string &path, const Json *value) {
     std::cout << path << " " << (value ? value->dump() : "(gone)") << std::endl;
   });
   int signal = 0;
-  sigwait(&ends, &signal);
+  sigwait(&signals, &signal);
   return 0;
 }
 
 int diff_documents(const model::Model &model, const std::string &from, const std::string &to) {
-  for (const model::Difference &one : model.diff(from, to))
-    std::cout << one.path << ": " << (one.before ? one.before->dump() : "(none)") << " -> "
-              << (one.after ? one.after->dump() : "(none)") << "  [" << name_of(one.takes_effect) << "]\n";
+  for (const model::Difference &difference : model.diff(from, to))
+    std::cout << difference.path << ": " << (difference.before ? difference.before->dump() : "(none)")
+              << " -> " << (difference.after ? difference.after->dump() : "(none)") << "  ["
+              << name_of(difference.takes_effect) << "]\n";
   return from == to ? 0 : 1;
 }
 
 int diff() {
   model::Model model;
-  if (!given.store.empty()) {
+  if (!command_line.store.empty()) {
     std::string from, to;
-    for (const management::Revision &revision : store::Store::read_history_read_only(given.store)) {
-      if (revision.number == given.from) from = revision.document;
-      if (revision.number == given.to) to = revision.document;
+    for (const management::Revision &revision : store::Store::read_history_read_only(command_line.store)) {
+      if (revision.number == command_line.from) from = revision.document;
+      if (revision.number == command_line.to) to = revision.document;
     }
-    if (from.empty() || to.empty()) throw std::runtime_error("the store has not both revisions");
+    if (from.empty() || to.empty()) throw std::runtime_error("the store does not have both revisions");
     return diff_documents(model, from, to);
   }
   std::vector<PathValue> running;
-  Reply reply = ManagementClient(given.target).get({parse_path("/front")}, DataType::configuration, running);
-  if (!reply.ok()) return refused(reply);
-  if (running.size() != 1) throw std::runtime_error("the front told of no configuration");
+  Reply reply =
+      ManagementClient(command_line.target).get({parse_path("/front")}, DataType::configuration, running);
+  if (!reply.ok()) return report_error(reply);
+  if (running.size() != 1) throw std::runtime_error("the front returned no configuration");
   std::string document = model.validate(Json{{"snowshore:front", running[0].value}}.dump());
-  return diff_documents(model, document, model.to_document(site::load_front(given.files).record));
+  return diff_documents(model, document, model.to_document(site::load_front(command_line.files).record));
 }
 
 void print_history(std::uint64_t revision, double at, const std::string &user, const std::string &cause,
@@ -163,20 +171,22 @@
 }
 
 int history() {
-  if (!given.store.empty()) { // of a front that is down, or beside one that runs
-    for (const management::Revision &r : store::Store::read_history_read_only(given.store))
-      print_history(r.number, r.committed_at, r.user, r.cause, r.confirm_deadline == 0);
+  // Reading the store needs no front, and does not disturb one that runs.
+  if (!command_line.store.empty()) {
+    for (const management::Revision &revision : store::Store::read_history_read_only(command_line.store))
+      print_history(revision.number, revision.committed_at, revision.user, revision.cause,
+                    revision.confirm_deadline == 0);
     return 0;
   }
   std::vector<PathValue> entries;
-  Reply reply = ManagementClient(given.target)
+  Reply reply = ManagementClient(command_line.target)
                     .get({parse_path("/state/history[revision=*]")}, DataType::state, entries);
-  if (!reply.ok()) return refused(reply);
+  if (!reply.ok()) return report_error(reply);
   for (const PathValue &entry : entries) {
-    const Json &v = entry.value;
-    print_history(std::stoull(v.value("revision", std::string("0"))),
-                  std::stod(v.value("at", std::string("0"))), v.value("user", std::string()),
-                  v.value("cause", std::string()), v.value("confirmed", true));
+    const Json &fields = entry.value;
+    print_history(std::stoull(fields.value("revision", std::string("0"))),
+                  std::stod(fields.value("at", std::string("0"))), fields.value("user", std::string()),
+                  fields.value("cause", std::string()), fields.value("confirmed", true));
   }
   return 0;
 }
@@ -184,52 +194,63 @@
 } // namespace
 
 void add_management_commands(CLI::App &app) {
-  auto speaks = [&](CLI::App *command) {
-    command->add_option("--target", given.target.address, "The front's management address")->required();
-    command->add_option("--authority", given.target.authority,
-                        "File of the authority that signs; none: plaintext");
-    command->add_option("--certificate", given.target.certificate, "The client's own, a file");
-    command->add_option("--key", given.target.key, "Of that certificate, a file");
-    command->add_option("--server-name", given.target.server_name, "As the front's certificate has it");
+  auto add_target_options = [&](CLI::App *command) {
+    command->add_option("--target", command_line.target.address, "The front's management address")
+        ->required();
+    command->add_option("--authority", command_line.target.authority,
+                        "File with the certificate authority; without it, plaintext");
+    command->add_option("--certificate", command_line.target.certificate,
+                        "File with the client's certificate");
+    command->add_option("--key", command_line.target.key, "File with the key of that certificate");
+    command->add_option("--server-name", command_line.target.server_name, "Name in the front's certificate");
     return command;
   };
-  auto *one = speaks(app.add_subcommand("get", "Read configuration or state of a running front"));
-  one->add_option("path", given.path, "As /front/limits or /state/servers[id=*]/strikes");
-  one->add_option("--type", given.type, "all, config or state")
+  auto *command_app =
+      add_target_options(app.add_subcommand("get", "Read configuration or state of a running front"));
+  command_app->add_option("path", command_line.path,
+                          "For example /front/limits or /state/servers[id=*]/strikes");
+  command_app->add_option("--type", command_line.type, "all, config or state")
       ->check(CLI::IsMember({"all", "config", "state"}));
-  one = speaks(app.add_subcommand("set", "Change the configuration of a running front, whole or not at all"));
-  one->add_option("path", given.path, "What to change")->required();
-  one->add_option("value", given.value, "JSON, or a text");
-  one->add_flag("--delete", given.remove, "Take it away, back to its default");
-  one->add_flag("--replace", given.replace, "All that stands there");
-  one->add_option("--and", given.more_edits, "PATH=VALUE, in the same change; may be given again");
-  one->add_option("--cause", given.cause, "For the history");
-  one->add_option("--read-at", given.expected_revision, "Refuse it if another revision is in force");
-  one->add_option("--confirm-within", given.confirm_within, "Seconds; undone where no confirm comes");
-  one->add_option("--id", given.commit_id, "Of the change to confirm");
-  one->footer(
+  command_app = add_target_options(
+      app.add_subcommand("set", "Change the configuration of a running front, as a whole or not at all"));
+  command_app->add_option("path", command_line.path, "Path to change")->required();
+  command_app->add_option("value", command_line.value, "JSON, or a string");
+  command_app->add_flag("--delete", command_line.remove, "Remove the value, which restores its default");
+  command_app->add_flag("--replace", command_line.replace, "Replace everything below the path");
+  command_app->add_option("--and", command_line.more_edits, "PATH=VALUE in the same change; may be repeated");
+  command_app->add_option("--cause", command_line.cause, "Reason that the history records");
+  command_app->add_option("--read-at", command_line.expected_revision,
+                          "Fail if another revision is in force");
+  command_app->add_option("--confirm-within", command_line.confirm_within,
+                          "Seconds until the change is rolled back unless it is confirmed");
+  command_app->add_option("--id", command_line.commit_id, "Id under which the change is confirmed");
+  command_app->footer(
       "Example:\n  snowshore set /front/limits/open_plays 5000 --target 127.0.0.1:9339 --cause 'new hall'");
-  one = speaks(app.add_subcommand("confirm", "Confirm a change that awaits it"));
-  one->add_option("--id", given.commit_id, "As given with set");
-  one->add_flag("--cancel", given.cancel, "Undo it now instead");
-  one = speaks(app.add_subcommand("watch", "Print a front's values as they change, over its restarts"));
-  one->add_option("path", given.path, "What to watch");
-  one->add_option("--sample", given.sample, "Seconds between samples; 0: on change");
-  one = speaks(app.add_subcommand("rollback", "Bring an earlier revision back, as a new one"));
-  one->add_option("revision", given.revision, "As history has it")->required();
-  auto either = [&](CLI::App *command) {
-    speaks(command);
+  command_app =
+      add_target_options(app.add_subcommand("confirm", "Confirm a change that awaits confirmation"));
+  command_app->add_option("--id", command_line.commit_id, "Id that was given to set");
+  command_app->add_flag("--cancel", command_line.cancel, "Roll the change back now instead");
+  command_app = add_target_options(
+      app.add_subcommand("watch", "Print a front's values as they change, across its restarts"));
+  command_app->add_option("path", command_line.path, "Path to watch");
+  command_app->add_option("--sample", command_line.sample_interval, "Seconds between samples; 0: on change");
+  command_app =
+      add_target_options(app.add_subcommand("rollback", "Restore an earlier revision as a new one"));
+  command_app->add_option("revision", command_line.revision, "Revision number from history")->required();
+  auto add_target_or_store = [&](CLI::App *command) {
+    add_target_options(command);
     command->get_option("--target")->required(false);
-    command->add_option("--store", given.store, "The front's store folder in place of a target");
+    command->add_option("--store", command_line.store, "The front's store folder, instead of a target");
     return command;
   };
-  either(app.add_subcommand("history", "The revisions that a front keeps"));
-  one = either(
-      app.add_subcommand("diff", "What records would change in a running front, or one revision to another"));
-  one->add_option("files", given.files, "Record files of the front");
-  one->add_option("--from", given.from, "A revision, with --store");
-  one->add_option("--to", given.to, "A revision, with --store");
-  one->footer("Exit codes: 0 no difference, 1 some.");
+  add_target_or_store(app.add_subcommand("history", "List the revisions that a front keeps"));
+  command_app = add_target_or_store(app.add_subcommand(
+      "diff",
+      "Show what record files would change in a running front, or the difference between two revisions"));
+  command_app->add_option("files", command_line.files, "Record files of the front");
+  command_app->add_option("--from", command_line.from, "A revision, with --store");
+  command_app->add_option("--to", command_line.to, "A revision, with --store");
+  command_app->footer("Exit codes: 0 no difference, 1 differences.");
 }
 
 int run_management_command(CLI::App &app) {
--- a/src/cli/manage.h
+++ b/src/cli/manage.h
@@ -1,5 +1,4 @@
-// The operators' commands that speak to a front's management: get, set, watch, diff, history, rollback,
-// confirm.
+// The operators' commands for a front's management: get, set, watch, diff, history, rollback, confirm.
 #pragma once
 
 namespace CLI {
@@ -8,9 +7,9 @@
 
 namespace snowshore::cli {
 
-// Adds the commands; run_management_command does the one that was given, and returns the exit code, or -1
-// where none was.
+// Adds the commands to the program. A build without management adds none.
 void add_management_commands(CLI::App &app);
+// Runs the command that the parsed command line has, and returns its exit code, or -1 if it has none of them.
 int run_management_command(CLI::App &app);
 
 } // namespace snowshore::cli
--- a/src/cli/unmanaged.cpp
+++ b/src/cli/unmanaged.cpp
@@ -1,4 +1,4 @@
-// The operators' commands of builds without management: none.
+// Replaces manage.cpp in builds without management: there are no management commands.
 #include "cli/manage.h"
 
 namespace snowshore::cli {
