--- a/src/hints/structured.cpp
+++ b/src/hints/structured.cpp
@@ -175,9 +175,10 @@
   if (auto number = std::get_if<double>(&item)) {
     char buffer[64];
     double value = std::clamp(std::round(*number * 1000) / 1000, -999999999999.0, 999999999999.0);
-    bool whole = value == std::floor(value);
+    bool is_integer = value == std::floor(value);
     auto end =
-        std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, whole ? 0 : 3).ptr;
+        std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, is_integer ? 0 : 3)
+            .ptr;
     return {buffer, end};
   }
   if (auto flag = std::get_if<bool>(&item)) return *flag ? "?1" : "?0";
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -168,12 +168,12 @@
   void handle_input(std::string_view bytes) {
     // A response without a request.
     if (state_ == State::idle) return close();
-    std::size_t taken = 0;
-    auto progress = reader_.feed(bytes, taken);
+    std::size_t consumed = 0;
+    auto progress = reader_.feed(bytes, consumed);
     if (state_ == State::closed || progress == MessageReader::Progress::needs_more) return;
     if (progress == MessageReader::Progress::failed) return fail(EndReason::malformed);
     // Bytes after the response belong to no request, so the connection is not reused.
-    bool has_excess = taken < bytes.size();
+    bool has_excess = consumed < bytes.size();
     on_response(has_excess);
   }
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -15,6 +15,7 @@
   });
 }
 
+// Control characters are replaced by '?', so that a value cannot end the line.
 void append_header(std::string &out, const Header &header) {
   auto append_safely = [&](std::string_view text) {
     for (unsigned char c : text) out += c < 0x20 || c == 0x7f ? '?' : static_cast<char>(c);
@@ -25,6 +26,7 @@
   out += "\r\n";
 }
 
+// Appends the status line and the headers.
 void append_head(std::string &out, const Response &response) {
   out += "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) + "\r\n";
   for (const Header &header : response.headers.fields) append_header(out, header);
@@ -239,7 +241,7 @@
   return 0;
 }
 
-MessageReader::Progress MessageReader::feed(std::string_view bytes, std::size_t &taken) {
+MessageReader::Progress MessageReader::feed(std::string_view bytes, std::size_t &consumed) {
   static const http_parser_settings kSettings = [] {
     http_parser_settings settings;
     http_parser_settings_init(&settings);
@@ -251,12 +253,12 @@
     settings.on_message_complete = on_message_complete;
     return settings;
   }();
-  taken = 0;
+  consumed = 0;
   if (failure_status_) return Progress::failed;
   if (bytes.empty()) return Progress::needs_more;
   // Empty lines before a request are skipped (RFC 9112 2.2) and do not start one.
   if (!begun_ && bytes.find_first_not_of("\r\n") != std::string_view::npos) begun_ = true;
-  taken = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
+  consumed = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
   if (complete_) return Progress::complete;
   http_errno error = HTTP_PARSER_ERRNO(&parser_);
   if (error == HPE_OK) return Progress::needs_more;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -70,9 +70,9 @@
   MessageReader(const MessageReader &) = delete;
   MessageReader &operator=(const MessageReader &) = delete;
 
-  // Reads up to the end of one message and sets `taken` to the number of bytes used; the caller keeps the
+  // Reads up to the end of one message and sets `consumed` to the number of bytes used; the caller keeps the
   // rest. After `complete`, the message is in `request` or `response` until start_next() is called.
-  Progress feed(std::string_view bytes, std::size_t &taken);
+  Progress feed(std::string_view bytes, std::size_t &consumed);
   // Called when the peer has closed the connection, which completes a response without a length.
   Progress end_of_input();
   void start_next();
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -154,9 +154,9 @@
   void handle_input() {
     while (state_ == State::reading && !input_.empty()) {
       bool had_begun = reader_.has_begun();
-      std::size_t taken = 0;
-      auto progress = reader_.feed(input_, taken);
-      input_.erase(0, taken);
+      std::size_t consumed = 0;
+      auto progress = reader_.feed(input_, consumed);
+      input_.erase(0, consumed);
       if (!had_begun && reader_.has_begun()) state_since_ = Clock::now();
       if (progress == MessageReader::Progress::needs_more) return;
       if (progress == MessageReader::Progress::failed) {
--- a/src/jsonlines/message.h
+++ b/src/jsonlines/message.h
@@ -68,9 +68,9 @@
       if (partial_.empty()) {
         more = on_line(line);
       } else {
-        std::string whole = std::exchange(partial_, {});
-        whole.append(line);
-        more = on_line(whole);
+        std::string complete = std::exchange(partial_, {});
+        complete.append(line);
+        more = on_line(complete);
       }
       if (!more) return true;
     }
--- a/src/jsonlines/server.cpp
+++ b/src/jsonlines/server.cpp
@@ -174,8 +174,9 @@
 // Closes a connection to admit a new one; returns whether it did. Only connections without open requests
 // qualify: untrusted ones go before trusted ones, then those heard from least recently. A connection that was
 // heard from just now or has unread data is kept, since a request may be on its way. One with unsent data is
-// kept for first_line_timeout, since its viewer may be about to read. A trusted connection is not closed
-// while other connections have yet to send their first line, since those may soon be closed instead.
+// kept for first_line_timeout after it was last heard from, since its viewer may be about to read. A trusted
+// connection is not closed while other connections have yet to send their first line, since those may soon be
+// closed instead.
 bool Server::make_room() {
   Connection *candidate = nullptr;
   bool awaiting_any = false;
--- a/src/jsonlines/server.h
+++ b/src/jsonlines/server.h
@@ -23,8 +23,8 @@
   // The number of lines that are handled from one connection before the other connections are served.
   std::size_t lines_per_turn = 16;
   // Seconds. A connection must send its first complete line within this time after it connects, and a later
-  // line must be complete within this time after its first byte. When room is needed for a new connection, a
-  // viewer is also given this time to read what was sent to it.
+  // line must be complete within this time after its first byte. A connection with unsent data is closed to
+  // make room only when nothing was received on it for this time, so that its viewer can read.
   double first_line_timeout = 2;
 };
 
--- a/src/rtsp/peer.h
+++ b/src/rtsp/peer.h
@@ -92,7 +92,7 @@
     std::function<void(EndReason end, const Message *message)> on_probe_ended;
     // on_data: bytes were received. on_connected: a connection was established.
     std::function<void()> on_data, on_connected;
-    // A connection ended or could not be established; `last` tells that no connection is open now.
+    // A connection ended or could not be established; `last` is true when none is open now.
     std::function<void(EndReason end, bool last)> on_disconnected;
     // Returns whether a descriptor is available for one more connection. It may close idle connections of
     // other servers.
--- a/src/serverwire/protocol.h
+++ b/src/serverwire/protocol.h
@@ -87,10 +87,10 @@
       }
       std::string line;
       line.swap(partial_);
-      bool whole = !overlong_;
+      bool complete = !overlong_;
       overlong_ = false;
-      dropped_ += !whole;
-      if (whole && !line.empty()) on_line(std::string_view(line));
+      dropped_ += !complete;
+      if (complete && !line.empty()) on_line(std::string_view(line));
     }
   }
   // Discards an incomplete line.
--- a/tests/fuzz/fuzz_wire.cpp
+++ b/tests/fuzz/fuzz_wire.cpp
@@ -15,14 +15,14 @@
   int sum = 0;
   for (std::string_view part : {all.substr(0, cut), all.substr(cut)}) {
     while (!part.empty()) {
-      std::size_t taken = 0;
-      auto progress = reader.feed(part, taken);
-      if (taken > part.size()) std::abort();
-      part.remove_prefix(taken);
+      std::size_t consumed = 0;
+      auto progress = reader.feed(part, consumed);
+      if (consumed > part.size()) std::abort();
+      part.remove_prefix(consumed);
       if (progress == http::MessageReader::Progress::failed) return sum * 1000 + reader.failure_status();
       if (progress == http::MessageReader::Progress::complete)
         ++sum, reader.start_next();
-      else if (taken == 0)
+      else if (consumed == 0)
         break;
     }
   }
