--- a/src/management/access.cpp
+++ b/src/management/access.cpp
@@ -32,7 +32,7 @@
 std::string read_pem_file(const std::string &file) {
   std::ifstream in(file);
   std::string text((std::istreambuf_iterator<char>(in)), {});
-  if (text.empty()) throw std::runtime_error("management: cannot read " + file);
+  if (text.empty()) throw std::runtime_error("management: " + file + " cannot be read");
   return text;
 }
 
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -23,9 +23,7 @@
   out["service"] = state.service;
   out["list"]["version"] = std::to_string(state.list_version);
   if (state.list_age >= 0) out["list"]["age"] = format_decimal(whole_seconds(state.list_age));
-  out["plays"] = Json::array();
-  out["answers"] = Json::array();
-  out["servers"] = Json::array();
+  out["plays"] = Json::array(), out["answers"] = Json::array(), out["servers"] = Json::array();
   for (const auto &[name, count] : state.plays)
     out["plays"].push_back({{"state", name}, {"count", std::to_string(count)}});
   for (const auto &[name, count] : state.answers)
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -249,8 +249,7 @@
       if (node.children.size() == 1 && !node.children[0]->children[0]->is_type<g::Preferred>())
         return evaluate_node(*node.children[0], path, diagnostics);
       if (node.children.size() > kMaxDisjuncts)
-        throw_error(out->location, path, "at most " + std::to_string(kMaxDisjuncts) + " alternatives",
-                    "more");
+        throw_error(out->location, path, std::to_string(kMaxDisjuncts) + " alternatives or fewer", "more");
       out->kind = Kind::disjunction;
       for (const auto &child : node.children)
         out->disjuncts.push_back(
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -46,7 +46,7 @@
     if (revision_key(revision.number) == key) return revision;
   } catch (const Json::exception &) {
   }
-  throw StoreError("store: the value at " + key + " is not a revision");
+  throw StoreError("store: no valid revision at key " + key);
 }
 
 // Reads all revisions in the order of their numbers and checks that none is missing.
