--- a/src/cli/snowshore.cpp
+++ b/src/cli/snowshore.cpp
@@ -1,4 +1,4 @@
-// snowshore: the operators' program.
+// snowshore: the front end, the check of its records, and the management commands.
 #include "cli/manage.h"
 #include "platform/run.h"
 #include "program/run.h"
@@ -18,8 +18,8 @@
   app.footer("Examples:\n  snowshore check front.cue site.cue --show\n  snowshore edge --records front.cue "
              "site.cue\n"
              "snowshore get /state/service --target 127.0.0.1:9339\nExit codes: 0 done, 1 refused by a "
-             "front, 2 bad use or "
-             "bad input.");
+             "front, 2 invalid usage or "
+             "input.");
   std::vector<std::string> files;
   bool show = false;
 
@@ -28,14 +28,14 @@
   std::string log_level = "info";
   auto *records = edge->add_option("--records", files, "Record files; several are unified")->expected(1, -1);
   auto *platform =
-      edge->add_flag("--platform", on_platform, "Serve the platform's viewers; told by NODE_CONFIG");
+      edge->add_flag("--platform", on_platform, "Serve the platform's viewers; configured by NODE_CONFIG");
   edge->add_option("--log", log_level, "With --platform: debug, info, warning or error")->needs(platform);
   records->excludes(platform);
-  edge->footer("SIGHUP reads the records again, SIGTERM answers what is in hand and exits 0.\n"
+  edge->footer("SIGHUP reads the records again, SIGTERM answers accepted plays and exits 0.\n"
                "Examples:\n  snowshore edge --records front.cue site.cue\n  snowshore edge --platform");
-  auto *check = app.add_subcommand("check", "Check a front's records and say every fault");
+  auto *check = app.add_subcommand("check", "Check a front's records and print every error");
   check->add_option("files", files, "Record files; several are unified")->required()->expected(1, -1);
-  check->add_flag("--show", show, "Print the result in full, defaults settled");
+  check->add_flag("--show", show, "Print the unified record with all defaults");
   check->footer("Example:\n  snowshore check front.cue site.cue --show");
   auto *version = app.add_subcommand("version", "Print the version");
 
@@ -62,7 +62,7 @@
     if (show)
       std::cout << record.settled_text << "\n";
     else
-      std::cout << "the records of front " << record.name << " are right\n";
+      std::cout << "the records of front " << record.name << " are valid\n";
     return 0;
   } catch (const records::RecordError &error) {
     std::cerr << error.what() << "\n";
--- a/src/site/front_record.cpp
+++ b/src/site/front_record.cpp
@@ -1,3 +1,4 @@
+// The schema of the front end's records, its consistency checks, and the reading of checked values.
 #include "site/front_record.h"
 #include "decision/names.h"
 
@@ -138,103 +139,116 @@
 }
 )cue";
 
-std::string shortest(double value) {
+// The shortest text that reads back as the same number.
+std::string format_shortest(double value) {
   char buffer[32];
   return {buffer, std::to_chars(buffer, buffer + sizeof buffer, value).ptr};
 }
 
-// Faults of values that do not fit each other, which the schema alone cannot say.
-class Cross {
+// Collects the errors of values that contradict each other, which the schema cannot express.
+class ConsistencyChecker {
  public:
-  void expect(bool holds, const Record &where, std::string_view name, const std::string &expected) {
-    if (holds) return;
-    Record one = where.at(name);
-    faults_.push_back({one.value().location, one.path(), expected, records::describe(one.value())});
+  // Adds an error for the value `name` of `parent` where the condition is not met.
+  void expect(bool is_met, const Record &parent, std::string_view name, const std::string &expected) {
+    if (is_met) return;
+    Record item = parent.at(name);
+    errors_.push_back({item.value().location, item.path(), expected, records::describe(item.value())});
   }
+  // Throws all errors, if there are any.
   void finish() {
-    if (!faults_.empty()) throw records::RecordError(std::move(faults_));
+    if (!errors_.empty()) throw records::RecordError(std::move(errors_));
   }
 
  private:
-  records::Diagnostics faults_;
+  records::Diagnostics errors_;
 };
 
-void check_together(const Record &front) {
-  Cross cross;
+// Throws records::RecordError, which lists each contradiction.
+void check_consistency(const Record &front) {
+  ConsistencyChecker checker;
   auto rungs = front.items("rungs");
-  int top = static_cast<int>(rungs.size()) - 1;
-  for (std::size_t r = 1; r < rungs.size(); ++r) {
-    cross.expect(rungs[r].rate("rate") > rungs[r - 1].rate("rate"), rungs[r], "rate",
-                 "a rate above the rung's below");
-    cross.expect(rungs[r].number("importance") > rungs[r - 1].number("importance"), rungs[r], "importance",
-                 "an importance above the rung's below");
+  int highest_rung = static_cast<int>(rungs.size()) - 1;
+  for (std::size_t rung = 1; rung < rungs.size(); ++rung) {
+    checker.expect(rungs[rung].rate("rate") > rungs[rung - 1].rate("rate"), rungs[rung], "rate",
+                   "a rate above that of the rung below");
+    checker.expect(rungs[rung].number("importance") > rungs[rung - 1].number("importance"), rungs[rung],
+                   "importance", "an importance above that of the rung below");
   }
-  cross.expect(rungs[0].rate("rate") > 0, rungs[0], "rate", "a rate above 0");
+  checker.expect(rungs[0].rate("rate") > 0, rungs[0], "rate", "a rate above 0");
   std::map<std::string, int> names;
   for (const Record &product : front.items("products")) {
-    cross.expect(++names[product.text("name")] == 1, product, "name", "a name that no other product has");
-    cross.expect(product.seconds("first_frame_target") <= product.seconds("time_limit"), product,
-                 "first_frame_target", "a first-frame target within the time limit");
-    cross.expect(product.seconds("first_frame_target") > 0, product, "first_frame_target", "a time above 0");
-    cross.expect(product.integer("top") <= top, product, "top",
-                 "a rung of the ladder, " + std::to_string(top) + " at most");
-    cross.expect(product.integer("floor") <= product.integer("top"), product, "floor",
-                 "a floor no higher than the top");
+    checker.expect(++names[product.text("name")] == 1, product, "name", "a name that no other product has");
+    checker.expect(product.seconds("first_frame_target") <= product.seconds("time_limit"), product,
+                   "first_frame_target", "a first-frame target within the time limit");
+    checker.expect(product.seconds("first_frame_target") > 0, product, "first_frame_target",
+                   "a time above 0");
+    checker.expect(product.integer("top") <= highest_rung, product, "top",
+                   "a rung that exists, " + std::to_string(highest_rung) + " at most");
+    checker.expect(product.integer("floor") <= product.integer("top"), product, "floor",
+                   "a floor no higher than the top");
   }
-  cross.expect(front.integer("index") < front.integer("fronts"), front, "index",
-               "an index below the number of fronts");
+  checker.expect(front.integer("index") < front.integer("fronts"), front, "index",
+                 "an index below the number of fronts");
   Record fleet = front.at("fleet"), rules = front.at("rules"), limits = front.at("limits");
-  cross.expect(fleet.integer("racks") <= fleet.integer("cells"), fleet, "racks", "no more racks than cells");
-  cross.expect(fleet.rate("link_per_weight") > 0, fleet, "link_per_weight", "a rate above 0");
-  cross.expect(rules.seconds("fall_span") > 0, rules, "fall_span", "a time above 0");
-  cross.expect(limits.seconds("lost_after") >= limits.seconds("report_silence"), limits, "lost_after",
-               "a time no shorter than report_silence");
-  cross.finish();
+  checker.expect(fleet.integer("racks") <= fleet.integer("cells"), fleet, "racks",
+                 "no more racks than cells");
+  checker.expect(fleet.rate("link_per_weight") > 0, fleet, "link_per_weight", "a rate above 0");
+  checker.expect(rules.seconds("fall_span") > 0, rules, "fall_span", "a time above 0");
+  checker.expect(limits.seconds("lost_after") >= limits.seconds("report_silence"), limits, "lost_after",
+                 "a time no shorter than report_silence");
+  checker.finish();
 }
 
-ManagementSettings management_terms(const Record &record) {
+// Throws records::RecordError; the checks apply only where management is on.
+ManagementSettings read_management_settings(const Record &record) {
   auto names = [&](const char *name) {
-    std::vector<std::string> out;
-    for (const Record &one : record.items(name)) out.push_back(one.as_text());
-    return out;
+    std::vector<std::string> values;
+    for (const Record &item : record.items(name)) values.push_back(item.as_text());
+    return values;
   };
   auto size = [&](const char *name) { return static_cast<std::size_t>(record.integer(name)); };
-  ManagementSettings out;
-  out.listen = record.text("listen"), out.store = record.text("store");
-  out.certificate = record.text("certificate"), out.key = record.text("key");
-  out.client_authority = record.text("client_authority");
-  out.plaintext = record.boolean("plaintext");
-  out.readers = names("readers"), out.writers = names("setters");
-  out.max_pending_sets = size("sets_waiting"), out.max_streams = size("streams");
-  out.max_history = size("history");
-  out.max_lag = record.seconds("behind_time"), out.snapshot_interval = record.seconds("snapshot_every");
-  if (out.listen.empty()) return out;
-  Cross cross;
-  http::Endpoint at;
-  bool right = true;
+  ManagementSettings settings;
+  settings.listen = record.text("listen");
+  settings.store = record.text("store");
+  settings.certificate = record.text("certificate");
+  settings.key = record.text("key");
+  settings.client_authority = record.text("client_authority");
+  settings.plaintext = record.boolean("plaintext");
+  settings.readers = names("readers");
+  settings.writers = names("setters");
+  settings.max_pending_sets = size("sets_waiting");
+  settings.max_streams = size("streams");
+  settings.max_history = size("history");
+  settings.max_lag = record.seconds("behind_time");
+  settings.snapshot_interval = record.seconds("snapshot_every");
+  if (settings.listen.empty()) return settings;
+  ConsistencyChecker checker;
+  http::Endpoint endpoint;
+  bool is_valid = true;
   try {
-    at = parse_endpoint(out.listen);
+    endpoint = parse_endpoint(settings.listen);
   } catch (const std::invalid_argument &) {
-    right = false;
+    is_valid = false;
   }
-  cross.expect(right, record, "listen", "an address and port");
-  cross.expect(!out.store.empty(), record, "store", "a folder for the store, where management listens");
-  cross.expect(!out.plaintext || !right || at.address().is_loopback(), record, "plaintext",
-               "plaintext on loopback only");
-  cross.expect(out.plaintext || !out.certificate.empty(), record, "certificate",
-               "a certificate, where plaintext is not asked for");
-  cross.expect(out.certificate.empty() || !out.key.empty(), record, "key", "the certificate's key");
-  cross.expect(out.certificate.empty() || !out.client_authority.empty(), record, "client_authority",
-               "the authority that signs clients' certificates");
-  cross.finish();
-  return out;
+  checker.expect(is_valid, record, "listen", "an address and port");
+  checker.expect(!settings.store.empty(), record, "store", "a folder for the store, since management is on");
+  checker.expect(!settings.plaintext || !is_valid || endpoint.address().is_loopback(), record, "plaintext",
+                 "plaintext on loopback only");
+  checker.expect(settings.plaintext || !settings.certificate.empty(), record, "certificate",
+                 "a certificate, unless plaintext is set");
+  checker.expect(settings.certificate.empty() || !settings.key.empty(), record, "key",
+                 "the certificate's key");
+  checker.expect(settings.certificate.empty() || !settings.client_authority.empty(), record,
+                 "client_authority", "the authority that signs clients' certificates");
+  checker.finish();
+  return settings;
 }
 
 } // namespace
 
 const records::Source &front_schema() {
-  static const records::Source kSource{"(schema of the front)", kSchema};
-  return kSource;
+  static const records::Source kSchemaSource{"(schema of the front)", kSchema};
+  return kSchemaSource;
 }
 
 http::Endpoint parse_endpoint(const std::string &text) {
@@ -243,22 +257,22 @@
   if (host.size() > 2 && host.front() == '[') host = host.substr(1, host.size() - 2);
   unsigned port = 0;
   auto [end, error] = std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
-  asio::error_code bad;
-  auto address = asio::ip::make_address(host, bad);
-  if (colon == std::string::npos || bad || error != std::errc() || end != text.data() + text.size() ||
-      port > 65535)
-    throw std::invalid_argument("'" + text + "' is no address and port");
+  asio::error_code address_error;
+  auto address = asio::ip::make_address(host, address_error);
+  if (colon == std::string::npos || address_error || error != std::errc() ||
+      end != text.data() + text.size() || port > 65535)
+    throw std::invalid_argument("'" + text + "' is not an address and port");
   return {address, static_cast<unsigned short>(port)};
 }
 
 DecisionSettings read_decision_settings(const Record &front) {
-  DecisionSettings given;
-  auto put = [&](const char *name, const std::string &value) { given[name] = value; };
-  auto put_number = [&](const char *name, double value) { put(name, shortest(value)); };
+  DecisionSettings settings;
+  auto put = [&](const char *name, const std::string &value) { settings[name] = value; };
+  auto put_number = [&](const char *name, double value) { put(name, format_shortest(value)); };
   auto put_list = [&](const char *name, const std::vector<Record> &items, auto value) {
-    std::string all;
-    for (const Record &item : items) all += (all.empty() ? "" : ",") + value(item);
-    put(name, all);
+    std::string joined;
+    for (const Record &item : items) joined += (joined.empty() ? "" : ",") + value(item);
+    put(name, joined);
   };
   Record fleet = front.at("fleet"), load = front.at("load"), rules = front.at("rules"),
          allocations = front.at("allocations"), further = allocations.at("further");
@@ -266,10 +280,10 @@
   put_number(given::kFronts, front.number("fronts"));
   put_number(given::kFrontIndex, front.number("index"));
   put(given::kHall, front.text("hall"));
-  put_list(given::kHalls, fleet.items("halls"), [](const Record &r) { return r.as_text(); });
-  put_list(given::kKinds, fleet.items("kinds"), [](const Record &r) { return r.text("name"); });
+  put_list(given::kHalls, fleet.items("halls"), [](const Record &item) { return item.as_text(); });
+  put_list(given::kKinds, fleet.items("kinds"), [](const Record &item) { return item.text("name"); });
   put_list(given::kKindCapacities, fleet.items("kinds"),
-           [](const Record &r) { return shortest(r.number("places")); });
+           [](const Record &item) { return format_shortest(item.number("places")); });
   put_number(given::kCells, fleet.number("cells"));
   put_number(given::kRacks, fleet.number("racks"));
   put_number(given::kLinkPerWeight, fleet.rate("link_per_weight"));
@@ -279,24 +293,26 @@
   put(given::kListMode, "pushed");
   put_number(given::kProducts, static_cast<double>(products.size()));
   auto of_product = [](const char *name) {
-    return [name](const Record &r) { return shortest(r.number(name)); };
+    return [name](const Record &item) { return format_shortest(item.number(name)); };
   };
   put_list(given::kProductFloors, products, of_product("floor"));
   put_list(given::kProductTops, products, of_product("top"));
   put_list(given::kProductSeats, products, of_product("seats"));
   put_list(given::kProductRateFactors, products, of_product("rate_factor"));
-  put_list(given::kRungRates, rungs, [](const Record &r) { return shortest(r.rate("rate")); });
+  put_list(given::kRungRates, rungs, [](const Record &item) { return format_shortest(item.rate("rate")); });
   put_list(given::kRungImportance, rungs, of_product("importance"));
-  for (std::size_t p = 0; p < products.size(); ++p) {
-    given[given::product_setting_name(p, given::kName)] = products[p].text("name");
-    given[given::product_setting_name(p, given::kFirstFrameTarget)] =
-        shortest(products[p].seconds("first_frame_target"));
-    given[given::product_setting_name(p, given::kTimeLimit)] = shortest(products[p].seconds("time_limit"));
-    given[given::product_setting_name(p, given::kImportance)] = shortest(products[p].number("importance"));
-    given[given::product_setting_name(p, given::kSetUpMode)] = products[p].text("set_up");
+  for (std::size_t index = 0; index < products.size(); ++index) {
+    settings[given::product_setting_name(index, given::kName)] = products[index].text("name");
+    settings[given::product_setting_name(index, given::kFirstFrameTarget)] =
+        format_shortest(products[index].seconds("first_frame_target"));
+    settings[given::product_setting_name(index, given::kTimeLimit)] =
+        format_shortest(products[index].seconds("time_limit"));
+    settings[given::product_setting_name(index, given::kImportance)] =
+        format_shortest(products[index].number("importance"));
+    settings[given::product_setting_name(index, given::kSetUpMode)] = products[index].text("set_up");
   }
   put(given::kLoadReportSource, load.text("comes_with"));
-  put_list(given::kLoadFields, load.items("fields"), [](const Record &r) { return r.as_text(); });
+  put_list(given::kLoadFields, load.items("fields"), [](const Record &item) { return item.as_text(); });
   put_number(given::kMayProbe, load.boolean("may_probe"));
   put_number(given::kMayRecall, 1);
   put_number(given::kMayAdviseReturn, 1);
@@ -313,75 +329,76 @@
   put_number(given::kDrainGrace, rules.seconds("drain_grace"));
   put_number(given::kAnswerSlack, rules.seconds("answer_slack"));
   put_number(given::kLongestRetryAfter, front.seconds("retry_after"));
-  return given;
+  return settings;
 }
 
 FrontConfig parse_front_config(std::span<const records::Source> files) {
   Record front = records::read(files, front_schema(), "#Front");
-  check_together(front);
-  FrontConfig out;
-  out.name = front.text("name");
-  out.index = front.integer("index");
-  out.fronts = front.integer("fronts");
-  out.seed = static_cast<std::uint64_t>(front.number("seed"));
+  check_consistency(front);
+  FrontConfig config;
+  config.name = front.text("name");
+  config.index = front.integer("index");
+  config.fronts = front.integer("fronts");
+  config.seed = static_cast<std::uint64_t>(front.number("seed"));
   Record listen = front.at("listen"), list = front.at("list"), limits = front.at("limits"),
          log = front.at("log");
   try {
-    out.players = parse_endpoint(listen.text("players"));
-    out.operators = parse_endpoint(listen.text("operators"));
+    config.players = parse_endpoint(listen.text("players"));
+    config.operators = parse_endpoint(listen.text("operators"));
   } catch (const std::invalid_argument &error) {
     throw records::RecordError(
         {{listen.value().location, listen.path(), "addresses to listen on", error.what()}});
   }
-  out.ports_file = listen.text("ports_file");
-  out.list_file = list.text("file");
-  out.catalogue_file = list.text("catalogue");
-  for (const Record &hall : front.at("fleet").items("halls")) out.halls.push_back(hall.as_text());
-  for (const Record &kind : front.at("fleet").items("kinds")) out.kinds.push_back(kind.text("name"));
+  config.ports_file = listen.text("ports_file");
+  config.list_file = list.text("file");
+  config.catalogue_file = list.text("catalogue");
+  for (const Record &hall : front.at("fleet").items("halls")) config.halls.push_back(hall.as_text());
+  for (const Record &kind : front.at("fleet").items("kinds")) config.kinds.push_back(kind.text("name"));
   for (const Record &product : front.items("products"))
-    out.products.push_back({product.text("name"), product.seconds("time_limit"),
-                            product.number("rate_factor"), product.integer("floor"), product.integer("top"),
-                            product.integer("seats")});
-  for (const Record &rung : front.items("rungs")) out.rung_rates.push_back(rung.rate("rate"));
-  out.load_in_answers = front.at("load").text("comes_with") == "answers";
-  out.answer_slack = front.at("rules").seconds("answer_slack");
-  out.retry_window = front.at("allocations").at("further").seconds("span");
-  out.accept_plays = front.boolean("take_plays");
-  out.management = management_terms(front.at("management"));
-  FrontLimits &l = out.limits;
-  l.players.read.header_bytes = static_cast<std::size_t>(limits.integer("header_bytes"));
-  l.players.read.body_bytes = static_cast<std::size_t>(limits.integer("body_bytes"));
-  l.players.connections = static_cast<std::size_t>(limits.integer("connections"));
-  l.players.header_time = limits.seconds("header_time");
-  l.players.idle_time = limits.seconds("idle_time");
-  l.players.write_time = limits.seconds("write_time");
-  l.servers.connections_per_server = static_cast<std::size_t>(limits.integer("server_connections"));
-  l.servers.total_connections = static_cast<std::size_t>(limits.integer("all_connections"));
-  l.servers.connect_time = limits.seconds("connect_time");
-  l.servers.late_time = limits.seconds("late_time");
-  l.max_open_plays = static_cast<std::size_t>(limits.integer("open_plays"));
-  l.probe_timeout = limits.seconds("probe_time");
-  l.report_silence = limits.seconds("report_silence");
-  l.lost_after = limits.seconds("lost_after");
-  out.log_target = log.text("where");
-  out.log_level = log.text("level");
-  out.settled_text = records::render(front.value());
-  out.decision_settings = read_decision_settings(front);
-  out.record = front;
-  return out;
+    config.products.push_back({product.text("name"), product.seconds("time_limit"),
+                               product.number("rate_factor"), product.integer("floor"),
+                               product.integer("top"), product.integer("seats")});
+  for (const Record &rung : front.items("rungs")) config.rung_rates.push_back(rung.rate("rate"));
+  config.load_in_answers = front.at("load").text("comes_with") == "answers";
+  config.answer_slack = front.at("rules").seconds("answer_slack");
+  config.retry_window = front.at("allocations").at("further").seconds("span");
+  config.accept_plays = front.boolean("take_plays");
+  config.management = read_management_settings(front.at("management"));
+  FrontLimits &front_limits = config.limits;
+  front_limits.players.read.header_bytes = static_cast<std::size_t>(limits.integer("header_bytes"));
+  front_limits.players.read.body_bytes = static_cast<std::size_t>(limits.integer("body_bytes"));
+  front_limits.players.connections = static_cast<std::size_t>(limits.integer("connections"));
+  front_limits.players.header_time = limits.seconds("header_time");
+  front_limits.players.idle_time = limits.seconds("idle_time");
+  front_limits.players.write_time = limits.seconds("write_time");
+  front_limits.servers.connections_per_server =
+      static_cast<std::size_t>(limits.integer("server_connections"));
+  front_limits.servers.total_connections = static_cast<std::size_t>(limits.integer("all_connections"));
+  front_limits.servers.connect_time = limits.seconds("connect_time");
+  front_limits.servers.late_time = limits.seconds("late_time");
+  front_limits.max_open_plays = static_cast<std::size_t>(limits.integer("open_plays"));
+  front_limits.probe_timeout = limits.seconds("probe_time");
+  front_limits.report_silence = limits.seconds("report_silence");
+  front_limits.lost_after = limits.seconds("lost_after");
+  config.log_target = log.text("where");
+  config.log_level = log.text("level");
+  config.settled_text = records::render(front.value());
+  config.decision_settings = read_decision_settings(front);
+  config.record = front;
+  return config;
 }
 
 FrontConfig load_front_config(const std::vector<std::string> &names) {
   std::vector<records::Source> files;
-  records::Diagnostics faults;
+  records::Diagnostics errors;
   for (const std::string &name : names) {
     try {
       files.push_back(records::load_file(name));
     } catch (const records::RecordError &error) {
-      faults.insert(faults.end(), error.diagnostics.begin(), error.diagnostics.end());
+      errors.insert(errors.end(), error.diagnostics.begin(), error.diagnostics.end());
     }
   }
-  if (!faults.empty()) throw records::RecordError(std::move(faults));
+  if (!errors.empty()) throw records::RecordError(std::move(errors));
   return parse_front_config(files);
 }
 
--- a/src/site/front_record.h
+++ b/src/site/front_record.h
@@ -27,7 +27,10 @@
 
 // Settings of the management interface, which is off where `listen` is empty.
 struct ManagementSettings {
+  // The address, the store's folder, and the files of the server's certificate, its key and the authority
+  // that signs clients' certificates.
   std::string listen, store, certificate, key, client_authority;
+  // Serve without TLS; allowed on loopback only.
   bool plaintext = false;
   // Certificate names of clients that may read, and of those that may also set.
   std::vector<std::string> readers, writers;
@@ -65,8 +68,11 @@
   std::vector<ProductSettings> products;
   // kB per second.
   std::vector<double> rung_rates;
+  // Servers send their load report with each answer to a set-up.
   bool load_in_answers = true;
+  // Seconds: the slack that is allowed past a time limit, and the window of repeated allocations.
   double answer_slack = 0, retry_window = 0;
+  // Whether new plays are accepted; false drains the front end.
   bool accept_plays = true;
   ManagementSettings management;
   FrontLimits limits;
--- a/src/site/front_state.h
+++ b/src/site/front_state.h
@@ -11,11 +11,13 @@
 namespace snowshore::site {
 
 struct FrontSnapshot {
+  // One listed server, and what the decision engine knows of it.
   struct ServerState {
     std::string id;
     ServerStatus status = ServerStatus::active;
     ServerView view;
   };
+  // The id of this run of the process, and "starting", "serving" or "draining".
   std::string boot, service;
   // Seconds; the list's age is -1 while there is no list.
   double uptime = 0, list_age = -1;
