--- a/src/edge/backoff.h
+++ b/src/edge/backoff.h
@@ -1,5 +1,5 @@
-// Pauses between attempts: doubling from the first to the longest, each spread by seeded chance over its
-// upper half, so that fronts do not come back in step.
+// Delays between retries. The delay doubles from the first to the longest, and each is drawn at random from
+// the upper half of its range, so that several front ends do not retry at the same moments.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -10,18 +10,23 @@
 
 class Backoff {
  public:
-  Backoff(double first, double longest, std::uint64_t seed)
-      : first_(first), longest_(longest), chance_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
-  void reset() { failures_ = 0; } // it went well
+  // first_delay, max_delay: seconds. The same seed gives the same delays.
+  Backoff(double first_delay, double max_delay, std::uint64_t seed)
+      : first_delay_(first_delay), max_delay_(max_delay),
+        generator_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
+  // Called after a success: the next delay is the first one again.
+  void reset() { failures_ = 0; }
+  // Number of failures since the last reset.
   int failures() const { return failures_; }
-  double next() { // seconds; counts a failure
-    double pause = std::min(longest_, first_ * std::exp2(failures_++));
-    return pause * (0.5 + 0.5 * static_cast<double>(chance_() - 1) / 2147483646.0);
+  // Counts a failure and returns the seconds to wait before the next attempt.
+  double next_delay() {
+    double delay = std::min(max_delay_, first_delay_ * std::exp2(failures_++));
+    return delay * (0.5 + 0.5 * static_cast<double>(generator_() - 1) / 2147483646.0);
   }
 
  private:
-  double first_, longest_;
-  std::minstd_rand chance_;
+  double first_delay_, max_delay_;
+  std::minstd_rand generator_;
   int failures_ = 0;
 };
 
--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -1,3 +1,4 @@
+// Requests to one media server, and the report stream with its reopening and its watch for silence.
 #include "edge/channel.h"
 #include "hints/hints.h"
 #include "telemetry/loop_clock.h"
@@ -11,20 +12,22 @@
 
 namespace {
 
-constexpr double kFirstPause = 0.05, kLongestPause = 1; // between attempts to open a report stream, doubling
-constexpr double kEndTime = 2; // an end or a rung that is not confirmed by then is told anew
+// Seconds between attempts to open the report stream; the delay doubles.
+constexpr double kFirstReopenDelay = 0.05, kMaxReopenDelay = 1;
+// Seconds for which an end or a change of rung waits for its answer; an end is then sent again.
+constexpr double kCommandTimeout = 2;
 
 } // namespace
 
 Channel::Channel(asio::io_context &io, http::Client &client, int server, http::Endpoint address,
-                 const Identity &identity, const ReportTimes &times, std::uint64_t seed,
+                 const FrontIdentity &identity, const ReportTimeouts &timeouts, std::uint64_t seed,
                  std::function<double()> now, const Events &events)
     : io_(io), client_(client), server_(server), address_(std::move(address)), identity_(identity),
-      times_(times), pauses_(kFirstPause, kLongestPause, seed), now_(std::move(now)), events_(events),
-      reopen_timer_(io), watch_timer_(io) {}
+      timeouts_(timeouts), backoff_(kFirstReopenDelay, kMaxReopenDelay, seed), now_(std::move(now)),
+      events_(events), reopen_timer_(io), silence_timer_(io) {}
 
 Channel::~Channel() {
-  stop_following();
+  close_report_stream();
   client_.close_idle_connections(address_);
 }
 
@@ -32,74 +35,77 @@
   if (address == address_) return;
   client_.close_idle_connections(address_);
   address_ = address;
-  if (stream_ == Stream::closed) return;
-  stop_following();
-  follow();
+  if (stream_state_ == StreamState::closed) return;
+  close_report_stream();
+  open_report_stream();
 }
 
-http::Client::RequestId Channel::set_up(const serverwire::SetUpRequest &set_up, double time_out,
-                                        std::function<void(const SetUpResult &)> done) {
+http::Client::RequestId Channel::send_set_up(const serverwire::SetUpRequest &set_up, double timeout,
+                                             std::function<void(const SetUpResult &)> done) {
   auto alive = std::weak_ptr<bool>(alive_);
   auto answered = [this, alive, play = set_up.play, allocation = set_up.allocation,
                    done = std::move(done)](const http::Result &result) {
     if (alive.expired()) return;
-    SetUpResult out;
-    out.duration = result.duration;
+    SetUpResult set_up_result;
+    set_up_result.duration = result.duration;
     switch (result.end_reason) {
     case http::EndReason::unreachable:
     case http::EndReason::no_capacity:
-      out.outcome = Outcome::unreachable;
+      set_up_result.outcome = Outcome::unreachable;
       break;
     case http::EndReason::timed_out:
-      out.outcome = Outcome::timed_out;
+      set_up_result.outcome = Outcome::timed_out;
       break;
     case http::EndReason::reset:
-      out.outcome = Outcome::reset;
+      set_up_result.outcome = Outcome::reset;
       break;
     case http::EndReason::malformed:
-      out.outcome = Outcome::error;
+      set_up_result.outcome = Outcome::error;
       if (events_.malformed) events_.malformed(server_);
       break;
     case http::EndReason::answered:
-      out.load = load_of(result.response);
-      out.started = result.response.status == 201;
-      out.outcome = out.started                     ? Outcome::done
-                    : result.response.status == 503 ? Outcome::busy
-                                                    : Outcome::error;
+      set_up_result.load = load_of(result.response);
+      set_up_result.started = result.response.status == 201;
+      set_up_result.outcome = set_up_result.started           ? Outcome::done
+                              : result.response.status == 503 ? Outcome::busy
+                                                              : Outcome::error;
     }
-    // It may run at the server though nobody here waits for it: the server is told to end it.
-    bool never_ran = out.outcome == Outcome::busy || out.outcome == Outcome::unreachable;
-    if (!out.started && !never_ran) end(play, allocation, "withdrawn");
-    done(out);
+    // Without a clear answer the play may run on the server, although the core does not wait for it any more.
+    // The server is told to end it.
+    bool never_ran = set_up_result.outcome == Outcome::busy || set_up_result.outcome == Outcome::unreachable;
+    if (!set_up_result.started && !never_ran) send_end(play, allocation, "withdrawn");
+    done(set_up_result);
   };
-  auto late = [this, alive, play = set_up.play,
-               allocation = set_up.allocation](const http::Response &response) {
+  auto late_answer = [this, alive, play = set_up.play,
+                      allocation = set_up.allocation](const http::Response &response) {
     if (alive.expired()) return;
-    if (events_.late) events_.late(server_);
-    if (response.status == 201) end(play, allocation, "withdrawn"); // it started after all, for nobody
+    if (events_.late_answer) events_.late_answer(server_);
+    // The play started after its time-out, and no player waits for it.
+    if (response.status == 201) send_end(play, allocation, "withdrawn");
   };
-  follow();
-  return client_.send(address_, serverwire::write_set_up(set_up), time_out, std::move(answered),
-                      std::move(late));
+  open_report_stream();
+  return client_.send(address_, serverwire::write_set_up(set_up), timeout, std::move(answered),
+                      std::move(late_answer));
 }
 
-void Channel::set_rung(const std::string &play, int rung) {
-  client_.send(address_, serverwire::write_set_rung(play, rung, ++step_), kEndTime, nullptr);
+void Channel::send_rung(const std::string &play, int rung) {
+  client_.send(address_, serverwire::write_set_rung(play, rung, ++rung_sequence_), kCommandTimeout, nullptr);
 }
 
-// Told up to three times: an end that is lost leaves a play on the server that nobody watches.
-void Channel::end(const std::string &play, int allocation, std::string_view reason, int tries) {
-  client_.send(address_, serverwire::write_end(play, allocation, reason), kEndTime,
+// Sent up to three times, since a lost end leaves a play running on the server without a player.
+void Channel::send_end(const std::string &play, int allocation, std::string_view reason, int attempts_left) {
+  client_.send(address_, serverwire::write_end(play, allocation, reason), kCommandTimeout,
                [this, alive = std::weak_ptr<bool>(alive_), play, allocation, reason = std::string(reason),
-                tries](const http::Result &result) {
-                 if (alive.expired() || result.end_reason == http::EndReason::answered || tries <= 1) return;
-                 end(play, allocation, reason, tries - 1);
+                attempts_left](const http::Result &result) {
+                 if (alive.expired() || result.end_reason == http::EndReason::answered || attempts_left <= 1)
+                   return;
+                 send_end(play, allocation, reason, attempts_left - 1);
                });
 }
 
-void Channel::probe(std::function<void(Outcome, const LoadReport &)> done) {
+void Channel::send_probe(std::function<void(Outcome, const LoadReport &)> done) {
   auto alive = std::weak_ptr<bool>(alive_);
-  client_.send(address_, serverwire::write_probe(), times_.probe_time,
+  client_.send(address_, serverwire::write_probe(), timeouts_.probe_timeout,
                [this, alive, done = std::move(done)](const http::Result &result) {
                  if (alive.expired()) return;
                  Outcome outcome = Outcome::error;
@@ -110,54 +116,54 @@
                  if (result.end_reason == http::EndReason::timed_out) outcome = Outcome::timed_out;
                  if (result.end_reason == http::EndReason::reset) outcome = Outcome::reset;
                  if (result.end_reason == http::EndReason::unreachable) outcome = Outcome::unreachable;
-                 if (result.end_reason == http::EndReason::no_capacity)
-                   outcome = Outcome::busy; // says nothing of the server
+                 // The front's own limit of connections, which says nothing about the server.
+                 if (result.end_reason == http::EndReason::no_capacity) outcome = Outcome::busy;
                  done(outcome, outcome == Outcome::done ? load_of(result.response) : LoadReport{});
                });
 }
 
 LoadReport Channel::load_of(const http::Response &response) {
-  auto text = response.headers.find("CMSD-Dynamic");
-  if (!text) return {};
-  hints::CmsdLoad load = hints::parse_cmsd(*text);
+  auto header = response.headers.find("CMSD-Dynamic");
+  if (!header) return {};
+  hints::CmsdLoad load = hints::parse_cmsd(*header);
   if (load.malformed && events_.malformed) events_.malformed(server_);
   return load;
 }
 
 // ---- The report stream.
 
-void Channel::become(Stream next) { stream_ = next; } // the one place where the stream's state changes
+void Channel::set_stream_state(StreamState next) { stream_state_ = next; }
 
-void Channel::follow() {
-  if (stream_ != Stream::closed) return;
-  last_heard_ = now_();
-  pauses_.reset();
-  told_lost_ = false;
-  watched_at_ = now_();
-  open_stream();
-  watch();
+void Channel::open_report_stream() {
+  if (stream_state_ != StreamState::closed) return;
+  last_line_at_ = now_();
+  backoff_.reset();
+  loss_reported_ = false;
+  last_check_at_ = now_();
+  request_report_stream();
+  check_silence();
 }
 
-void Channel::stop_following() {
-  become(Stream::closed);
+void Channel::close_report_stream() {
+  set_stream_state(StreamState::closed);
   reopen_timer_.cancel();
-  watch_timer_.cancel();
-  if (stream_id_) client_.cancel(stream_id_);
-  stream_id_ = 0;
+  silence_timer_.cancel();
+  if (stream_request_) client_.cancel(stream_request_);
+  stream_request_ = 0;
 }
 
-void Channel::open_stream() {
-  become(Stream::opening);
-  lines_.clear();
-  asked_at_ = now_();
+void Channel::request_report_stream() {
+  set_stream_state(StreamState::opening);
+  line_splitter_.clear();
+  requested_at_ = now_();
   auto alive = std::weak_ptr<bool>(alive_);
-  stream_id_ = client_.stream(
-      address_, serverwire::write_report_request(identity_.front, identity_.boot), times_.silence,
-      [](const http::Response &) {},
+  stream_request_ = client_.stream(
+      address_, serverwire::write_report_request(identity_.front_name, identity_.boot_id),
+      timeouts_.max_silence, [](const http::Response &) {},
       [this, alive](std::string_view data) {
-        if (alive.expired() || stream_ == Stream::closed) return;
-        lines_.feed(data, [&](std::string_view text) {
-          if (!alive.expired()) line(text);
+        if (alive.expired() || stream_state_ == StreamState::closed) return;
+        line_splitter_.feed(data, [&](std::string_view line) {
+          if (!alive.expired()) on_line(line);
         });
       },
       [this, alive](const http::Result &result) {
@@ -165,65 +171,67 @@
       });
 }
 
-void Channel::line(std::string_view text) {
-  auto report = serverwire::parse_report(text);
+void Channel::on_line(std::string_view line) {
+  auto report = serverwire::parse_report(line);
   if (!report) {
     if (events_.malformed) events_.malformed(server_);
     return;
   }
-  last_heard_ = now_();
-  told_lost_ = false;
+  last_line_at_ = now_();
+  loss_reported_ = false;
   if (report->kind == serverwire::Report::Kind::hello) {
-    become(Stream::open);
-    pauses_.reset();
-    bool restarted = started_ > 0 && report->started_at != started_;
-    started_ = report->started_at;
-    return events_.hello(server_, *report, asked_at_, restarted);
+    set_stream_state(StreamState::open);
+    backoff_.reset();
+    bool restarted = server_started_at_ > 0 && report->started_at != server_started_at_;
+    server_started_at_ = report->started_at;
+    return events_.hello(server_, *report, requested_at_, restarted);
   }
   if (report->kind != serverwire::Report::Kind::heartbeat) events_.report(server_, *report);
 }
 
-void Channel::stream_ended(http::EndReason ending) {
-  stream_id_ = 0;
-  if (stream_ == Stream::closed) return;
-  // Refused on the very address where it served: its process is gone, and its plays with it.
-  bool gone = ending == http::EndReason::unreachable && now_() - last_heard_ < times_.lost_after &&
-              pauses_.failures() > 0;
-  reopen_later();
-  if (gone && !told_lost_) {
-    told_lost_ = true;
+void Channel::stream_ended(http::EndReason reason) {
+  stream_request_ = 0;
+  if (stream_state_ == StreamState::closed) return;
+  // A reopening is refused at the address that served a short time ago: the server's process has ended, and
+  // its plays with it.
+  bool is_refused = reason == http::EndReason::unreachable && now_() - last_line_at_ < timeouts_.lost_after &&
+                    backoff_.failures() > 0;
+  schedule_reopen();
+  if (is_refused && !loss_reported_) {
+    loss_reported_ = true;
     events_.lost(server_, "refused");
   }
 }
 
-void Channel::reopen_later() {
-  become(Stream::waiting);
-  reopen_timer_.expires_after(to_timer_duration(pauses_.next()));
+void Channel::schedule_reopen() {
+  set_stream_state(StreamState::reopening);
+  reopen_timer_.expires_after(to_timer_duration(backoff_.next_delay()));
   reopen_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-    if (!error && !alive.expired() && stream_ == Stream::waiting) open_stream();
+    if (!error && !alive.expired() && stream_state_ == StreamState::reopening) request_report_stream();
   });
 }
 
-// A stream that says nothing is no better than none: it is opened anew, and after lost_after its plays have
-// ended.
-void Channel::watch() {
-  watch_timer_.expires_after(to_timer_duration(std::max(0.05, times_.silence / 4)));
-  watch_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-    if (error || alive.expired() || stream_ == Stream::closed) return;
-    // A front that stood still itself has not listened: what servers said meanwhile is read first.
-    if (now_() - watched_at_ > std::max(0.5, times_.silence / 2)) last_heard_ = std::max(last_heard_, now_());
-    watched_at_ = now_();
-    double silent = now_() - last_heard_;
-    if (stream_ == Stream::open && silent > times_.silence) {
-      if (stream_id_) client_.cancel(stream_id_);
-      stream_id_ = 0;
-      reopen_later();
+// A stream that stays silent for max_silence is reopened; after lost_after the server is lost.
+void Channel::check_silence() {
+  silence_timer_.expires_after(to_timer_duration(std::max(0.05, timeouts_.max_silence / 4)));
+  silence_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
+    if (error || alive.expired() || stream_state_ == StreamState::closed) return;
+    // If this process itself was suspended or blocked, the servers' lines of that time are still unread. The
+    // silence is counted anew, so that they are read first.
+    if (now_() - last_check_at_ > std::max(0.5, timeouts_.max_silence / 2))
+      last_line_at_ = std::max(last_line_at_, now_());
+    last_check_at_ = now_();
+    double silent_for = now_() - last_line_at_;
+    if (stream_state_ == StreamState::open && silent_for > timeouts_.max_silence) {
+      if (stream_request_) client_.cancel(stream_request_);
+      stream_request_ = 0;
+      schedule_reopen();
     }
-    if (silent > times_.lost_after && !told_lost_) {
-      told_lost_ = true;
+    if (silent_for > timeouts_.lost_after && !loss_reported_) {
+      loss_reported_ = true;
       events_.lost(server_, "silent");
     }
-    watch();
+    check_silence();
   });
 }
 
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -1,3 +1,4 @@
+// The core: engine calls with their clock and timers, the life of a play, time limits and list updates.
 #include "edge/core.h"
 #include "decision/given_reader.h"
 #include "decision/names.h"
@@ -16,29 +17,34 @@
 
 namespace {
 
-constexpr double kGuardEvery = 0.01;
-constexpr double kLongCall = 0.005;        // seconds
-constexpr std::size_t kServersATurn = 128; // of a list, applied before the loop goes on
+// Seconds between two checks for plays whose time limit has passed.
+constexpr double kDeadlineCheckInterval = 0.01;
+// Seconds; longer calls are counted in CallDurations::long_calls.
+constexpr double kLongCall = 0.005;
+// Servers of a list update that are applied before the executor runs other handlers.
+constexpr std::size_t kServersPerSlice = 128;
 
 } // namespace
 
 std::uint64_t hash53(const std::string &text) { return XXH64(text.data(), text.size(), 0) >> 11; }
 
+// The core's metrics.
 struct Core::Counters {
-  telemetry::Metrics &m;
-  explicit Counters(telemetry::Metrics &metrics) : m(metrics) {
-    for (std::size_t c = 0; c < kCauses; ++c) {
+  telemetry::Metrics &registry;
+  explicit Counters(telemetry::Metrics &metrics) : registry(metrics) {
+    for (std::size_t cause = 0; cause < kCauses; ++cause) {
       for (const char *outcome : kOutcomes)
-        by_outcome[std::pair(std::string_view(outcome), c)] =
-            &m.counter("snowshore_plays_total", "Plays answered, by outcome and cause",
-                       {{"outcome", outcome}, {"cause", name_of(static_cast<FailureCause>(c))}});
+        by_outcome[std::pair(std::string_view(outcome), cause)] =
+            &registry.counter("snowshore_plays_total", "Plays answered, by outcome and cause",
+                              {{"outcome", outcome}, {"cause", name_of(static_cast<FailureCause>(cause))}});
     }
-    for (std::size_t o = 0; o < by_allocation.size(); ++o)
-      by_allocation[o] = &m.counter("snowshore_allocations_total", "Allocations ended or started, by outcome",
-                                    {{"outcome", std::string(given::kOutcomeNames[o])}});
+    for (std::size_t outcome = 0; outcome < by_allocation.size(); ++outcome)
+      by_allocation[outcome] =
+          &registry.counter("snowshore_allocations_total", "Allocations ended or started, by outcome",
+                            {{"outcome", std::string(given::kOutcomeNames[outcome])}});
   }
   static constexpr const char *kOutcomes[] = {"plays", "declined", "failed", "left"};
-  // Looked up once at start: the registry walks its families at each look.
+  // Looked up once at the start, since each look-up in the registry searches all metric families.
   std::map<std::pair<std::string_view, std::size_t>, prometheus::Counter *> by_outcome;
   std::array<prometheus::Counter *, std::size(given::kOutcomeNames)> by_allocation{};
   prometheus::Counter &plays(const char *outcome, FailureCause cause) {
@@ -47,37 +53,45 @@
   prometheus::Counter &allocations(Outcome outcome) {
     return *by_allocation[static_cast<std::size_t>(outcome)];
   }
-  prometheus::Counter &ended(const char *why) {
-    return m.counter("snowshore_plays_ended_total", "Plays under way that ended", {{"why", why}});
+  prometheus::Counter &ended(const char *reason) {
+    return registry.counter("snowshore_plays_ended_total", "Running plays that ended", {{"why", reason}});
   }
-  prometheus::Counter &taken = m.counter("snowshore_plays_taken_total", "Requests taken as plays");
-  prometheus::Counter &lost_servers =
-      m.counter("snowshore_lost_servers_total", "Times that a server's report stream was given up");
-  prometheus::Counter &list_changes = m.counter("snowshore_list_changes_total", "Lists taken");
-  prometheus::Counter &list_faults =
-      m.counter("snowshore_list_faults_total", "Lists or catalogues that could not be had or were refused");
-  prometheus::Counter &probes = m.counter("snowshore_probes_total", "Probes sent");
-  prometheus::Counter &steps =
-      m.counter("snowshore_rung_steps_total", "Changes of rung sent for plays under way");
-  prometheus::Counter &overdue =
-      m.counter("snowshore_overdue_total", "Plays that the front's guard had to answer; not 0 is a defect");
-  prometheus::Histogram &decision = m.histogram(
-      "snowshore_decision_seconds", "Time of one call on the module", telemetry::duration_buckets());
-  prometheus::Histogram &added = m.histogram(
-      "snowshore_added_seconds", "The front's own time in a play's answer: without waiting for servers",
-      telemetry::duration_buckets());
-  prometheus::Histogram &answer = m.histogram(
-      "snowshore_answer_seconds", "From a play's request to its answer", telemetry::duration_buckets());
-  prometheus::Gauge &list_age = m.gauge("snowshore_list_age_seconds", "Since the list was last taken");
-  prometheus::Gauge &list_version = m.gauge("snowshore_list_version", "Of the list in force");
-  prometheus::Gauge &timers = m.gauge("snowshore_timers", "Timers that the module waits for");
+  prometheus::Counter &accepted =
+      registry.counter("snowshore_plays_taken_total", "Requests accepted as plays");
+  prometheus::Counter &lost_servers = registry.counter(
+      "snowshore_lost_servers_total", "Times that a server's report stream was declared lost");
+  prometheus::Counter &list_changes =
+      registry.counter("snowshore_list_changes_total", "Server lists and changes applied");
+  prometheus::Counter &list_faults = registry.counter(
+      "snowshore_list_faults_total", "Server lists or catalogues that could not be read or were rejected");
+  prometheus::Counter &probes = registry.counter("snowshore_probes_total", "Probes sent to servers");
+  prometheus::Counter &rung_changes =
+      registry.counter("snowshore_rung_steps_total", "Changes of rung sent for running plays");
+  prometheus::Counter &deadline_passed =
+      registry.counter("snowshore_overdue_total",
+                       "Plays that the front's own timer answered after their time limit; any is a defect");
+  prometheus::Histogram &decision =
+      registry.histogram("snowshore_decision_seconds", "Duration of one call of the decision engine",
+                         telemetry::duration_buckets());
+  prometheus::Histogram &processing =
+      registry.histogram("snowshore_added_seconds",
+                         "Time that the front itself spends on a play's answer, without waiting for servers",
+                         telemetry::duration_buckets());
+  prometheus::Histogram &answer = registry.histogram(
+      "snowshore_answer_seconds", "Time from a play's request to its answer", telemetry::duration_buckets());
+  prometheus::Gauge &list_age =
+      registry.gauge("snowshore_list_age_seconds", "Time since the last list update");
+  prometheus::Gauge &list_version = registry.gauge("snowshore_list_version", "Version of the current list");
+  prometheus::Gauge &timers = registry.gauge("snowshore_timers", "Pending timers of the decision engine");
 };
 
-Core::Core(asio::io_context &io, CoreSettings terms, telemetry::Log &log, std::unique_ptr<ListSource> source,
-           PlayerGateway &players, ServerGateway &servers, DecisionEngineFactory make)
-    : io_(io), settings_(std::move(terms)), log_(log), player_gateway_(players), server_gateway_(servers),
-      counters_(std::make_unique<Counters>(metrics_)), send_guard_(log, 0), timer_(io), deadline_timer_(io),
-      shutdown_timer_(io), source_(std::move(source)), engine_factory_(std::move(make)) {
+Core::Core(asio::io_context &io, CoreSettings settings, telemetry::Log &log,
+           std::unique_ptr<ListSource> list_source, PlayerGateway &player_gateway,
+           ServerGateway &server_gateway, DecisionEngineFactory engine_factory)
+    : io_(io), settings_(std::move(settings)), log_(log), player_gateway_(player_gateway),
+      server_gateway_(server_gateway), counters_(std::make_unique<Counters>(metrics_)), send_guard_(log, 0),
+      engine_timer_(io), deadline_timer_(io), shutdown_timer_(io), list_source_(std::move(list_source)),
+      engine_factory_(std::move(engine_factory)) {
   std::random_device device;
   seed_ = settings_.seed ? settings_.seed : (std::uint64_t{device()} << 32 | device());
   for (const std::string &hall : settings_.halls) halls_.index_of(hall);
@@ -93,15 +107,15 @@
 void Core::start(std::function<void(Catalogue)> on_catalogue) {
   make_engine();
   ListSource::Events events;
-  events.list = [this](ServerList list) { on_list(std::move(list), true); };
-  events.changes = [this](ServerList list) { on_list(std::move(list), false); };
+  events.list = [this](ServerList list) { queue_update(std::move(list), true); };
+  events.changes = [this](ServerList list) { queue_update(std::move(list), false); };
   events.catalogue = std::move(on_catalogue);
-  events.unavailable = [this](const std::string &why) {
+  events.unavailable = [this](const std::string &reason) {
     counters_->list_faults.Increment();
-    log_.warning("list_unavailable", {{"cause", why}});
+    log_.warning("list_unavailable", {{"cause", reason}});
     call_engine([&] { engine_->server_list_updated(ListUpdateKind::unavailable, {}); });
   };
-  source_->start(std::move(events));
+  list_source_->start(std::move(events));
   check_deadlines();
 }
 
@@ -116,9 +130,9 @@
   call_durations_.longest = std::max(call_durations_.longest, seconds);
 }
 
-void Core::count_ended_play(const char *why) { counters_->ended(why).Increment(); }
+void Core::count_ended_play(const char *reason) { counters_->ended(reason).Increment(); }
 
-// The module, at the start and where the shape of what it knows has changed and nothing is in hand.
+// Called at the start, and by restart_engine() while the table holds no play.
 void Core::make_engine() {
   timers_ = {};
   kinds_ = {};
@@ -126,20 +140,22 @@
   engine_ = engine_factory_(settings_.decision_settings, seed_, clock_.now(), *this);
   engine_has_list_ = false;
   if (!has_list_) return;
-  std::vector<ServerEntry> entries; // what is known of servers stays
-  for (const ListedServer &one : servers_.list().servers) entries.push_back(entry_of(servers_.find(one.id)));
+  // The new engine gets all servers that the registry knows.
+  std::vector<ServerEntry> entries;
+  for (const ListedServer &listed : servers_.list().servers)
+    entries.push_back(entry_of(servers_.find(listed.id)));
   engine_has_list_ = true;
   call_engine([&] { engine_->server_list_updated(ListUpdateKind::initial, entries); });
 }
 
-void Core::apply_settings(CoreSettings terms) {
-  settings_ = std::move(terms);
+void Core::apply_settings(CoreSettings settings) {
+  settings_ = std::move(settings);
   send_guard_.set_drain_grace(drain_grace());
   call_engine([&] { engine_->settings_changed(settings_.decision_settings); });
 }
 
-void Core::restart_engine(CoreSettings terms) {
-  settings_ = std::move(terms);
+void Core::restart_engine(CoreSettings settings) {
+  settings_ = std::move(settings);
   make_engine();
 }
 
@@ -158,40 +174,39 @@
   play.title = titles_.index_of(title);
   titles_.add_holder(index, play.title);
   play.requested_at = clock_.now();
-  counters_->taken.Increment();
+  counters_->accepted.Increment();
   return {index, play.serial};
 }
 
-void Core::submit_play(int index, PlayRequest terms, double spent) {
+void Core::submit_play(int index, PlayRequest request, double reading_time) {
   PlayRecord &play = plays_.at(index);
-  play.product = terms.product;
-  terms.title = play.title;
+  play.product = request.product;
+  request.title = play.title;
   play.deadline =
       play.requested_at +
-      terms.time_left.value_or(settings_.products[static_cast<std::size_t>(terms.product)].time_limit);
+      request.time_left.value_or(settings_.products[static_cast<std::size_t>(request.product)].time_limit);
   deadlines_.push({play.deadline + settings_.answer_slack / 2, {index, play.serial}});
-  play.processing_since = clock_.read_now() - spent;
-  call_engine([&] { engine_->play_requested(index, terms); });
+  play.processing_since = clock_.read_now() - reading_time;
+  call_engine([&] { engine_->play_requested(index, request); });
 }
 
 std::optional<PlayRef> Core::accept_handover(std::uint64_t id, const std::string &title,
-                                             const std::string &server, PlayRequest terms) {
-  int at = servers_.find(server);
-  if (at < 0) return std::nullopt;
+                                             const std::string &server, PlayRequest request) {
+  int server_index = servers_.find(server);
+  if (server_index < 0) return std::nullopt;
   PlayRef ref = add_play(id, title);
   PlayRecord &play = plays_.at(ref.index);
-  play.product = terms.product;
-  play.server = at;
+  play.product = request.product;
+  play.server = server_index;
   play.allocation = 0;
   play.started_at = clock_.now();
   plays_.set_state(ref.index, PlayState::playing);
-  terms.title = play.title;
-  call_engine([&] { engine_->play_handed_over(ref.index, at, terms); });
+  request.title = play.title;
+  call_engine([&] { engine_->play_handed_over(ref.index, server_index, request); });
   server_gateway_.play_handed_over(ref.index);
   return ref;
 }
 
-// The player left before its answer.
 void Core::player_left(int index) {
   PlayRecord &play = plays_.at(index);
   if (play.state != PlayState::requested && play.state != PlayState::allocating) return;
@@ -201,7 +216,8 @@
                        {"state", name_of(play.state)},
                        {"after", clock_.read_now() - play.requested_at}});
   if (play.state == PlayState::requested) {
-    call_engine([&] { engine_->viewer_left(index); }); // the module forgets it
+    // The engine calls forget_play() for it.
+    call_engine([&] { engine_->viewer_left(index); });
     return;
   }
   int allocation = play.allocation;
@@ -221,15 +237,15 @@
   play_ended(index, Outcome::recalled);
 }
 
-// After the answer has gone out: a server may end a play in the moment in which it starts, and nothing that
-// is only written down may hold up what its player is told.
+// Called after the answer was sent, so that log and metrics do not delay it: a server may end a play right
+// after its start.
 void Core::record_answer(int index, const char *outcome) {
   PlayRecord &play = plays_.at(index);
   double now = clock_.read_now();
   play.processing_time += now - play.processing_since;
   counters_->plays(outcome, play.cause).Increment();
   counters_->answer.Observe(now - play.requested_at);
-  counters_->added.Observe(play.processing_time);
+  counters_->processing.Observe(play.processing_time);
   if (log_.is_enabled(telemetry::LogLevel::info))
     log_.info(outcome, {{"session", given::format_hex16(play.id)},
                         {"title", titles_.id(play.title)},
@@ -242,9 +258,9 @@
 }
 
 bool Core::may_answer(int index) {
-  bool may = send_guard_.may_answer(plays_.at(index));
+  bool is_allowed = send_guard_.may_answer(plays_.at(index));
   plays_.at(index).answered = true;
-  return may;
+  return is_allowed;
 }
 
 void Core::decline_play(int index, double retry_after) {
@@ -261,7 +277,7 @@
   plays_.set_state(index, PlayState::answered);
 }
 
-// The play ends and its player is told to come again; it comes as a new request marked as moved.
+// Ends the play and asks its player to request it again; the new request is marked as moved.
 void Core::move_play(int index) {
   if (plays_.at(index).state != PlayState::playing) return;
   player_gateway_.send_move(index);
@@ -271,23 +287,24 @@
   });
 }
 
-void Core::shut_down_by(double moment) {
-  shutdown_at_ = moment;
-  send_guard_.set_shutdown_time(moment);
-  call_engine([&] { engine_->set_shutdown_time(moment); });
-  shutdown_timer_.expires_after(to_timer_duration(moment - clock_.read_now()));
+void Core::shut_down_by(double deadline) {
+  shutdown_at_ = deadline;
+  send_guard_.set_shutdown_time(deadline);
+  call_engine([&] { engine_->set_shutdown_time(deadline); });
+  shutdown_timer_.expires_after(to_timer_duration(deadline - clock_.read_now()));
   shutdown_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-    if (!error && !alive.expired()) give_up_all();
+    if (!error && !alive.expired()) cancel_pending_set_ups();
   });
 }
 
-// What is still out is withdrawn and may have run; the module says what its player is told.
-void Core::give_up_all() {
-  std::vector<int> out;
+// Each set-up counts as timed out, since its play may have started on the server. The engine then decides on
+// the answer to the player.
+void Core::cancel_pending_set_ups() {
+  std::vector<int> pending;
   plays_.for_each([&](int index) {
-    if (plays_.at(index).state == PlayState::allocating) out.push_back(index);
+    if (plays_.at(index).state == PlayState::allocating) pending.push_back(index);
   });
-  for (int index : out) {
+  for (int index : pending) {
     server_gateway_.cancel_set_up(index, "draining");
     SetUpResult result;
     result.outcome = Outcome::timed_out;
@@ -300,24 +317,25 @@
 void Core::set_rung(int index, int rung) {
   PlayRecord &play = plays_.at(index);
   play.rung = rung;
-  if (play.state != PlayState::playing) return; // it goes with the set-up
-  counters_->steps.Increment();
+  // Before the play runs, the rung is sent with the set-up.
+  if (play.state != PlayState::playing) return;
+  counters_->rung_changes.Increment();
   server_gateway_.change_rung(index, rung);
 }
 
-void Core::start_allocation(int index, int server, double time_out) {
+void Core::start_allocation(int index, int server, double timeout) {
   PlayRecord &play = plays_.at(index);
   last_allocation_at_ = clock_.now();
   play.server = server;
   Allocation allocation{server, ++play.allocation, play.rung, 0};
   double left = std::max(0.0, std::min(play.deadline, shutdown_at_) - clock_.read_now());
-  allocation.timeout = time_out > 0 ? std::min(time_out, left) : 0;
+  allocation.timeout = timeout > 0 ? std::min(timeout, left) : 0;
   plays_.set_state(index, PlayState::allocating);
   if (!send_guard_.may_attempt(play, server, clock_.read_now())) {
     asio::post(io_, [this, ref = play_ref(index), number = allocation.number] {
-      SetUpResult never_sent;
-      never_sent.outcome = Outcome::skipped;
-      set_up_ended(ref, number, never_sent);
+      SetUpResult not_sent;
+      not_sent.outcome = Outcome::skipped;
+      set_up_ended(ref, number, not_sent);
     });
     return;
   }
@@ -383,11 +401,12 @@
   call_engine([&] { engine_->allocation_ended(index, allocation, outcome, true, report); });
 }
 
-void Core::server_lost(int server, const char *why, double before) {
+void Core::server_lost(int server, const char *reason, double before) {
   counters_->lost_servers.Increment();
-  log_.warning("server_lost", {{"server", servers_.id(server)}, {"cause", why}});
-  auto there = plays_.playing_at(server);
-  for (int index : std::vector(there.begin(), there.end())) { // a copy: they end one by one
+  log_.warning("server_lost", {{"server", servers_.id(server)}, {"cause", reason}});
+  auto on_server = plays_.playing_at(server);
+  // A copy, since each ended play is removed from the table's own list.
+  for (int index : std::vector(on_server.begin(), on_server.end())) {
     if (plays_.at(index).started_at >= before) continue;
     count_ended_play("server_lost");
     play_ended(index, Outcome::reset);
@@ -417,35 +436,36 @@
   call_engine([&] { engine_->probe_answered(server, outcome, report); });
 }
 
-// ---- Timers of the module: one of the loop's, for the earliest.
+// ---- Timers of the engine. One asio timer runs for the earliest of them.
 
 void Core::set_timer(double wait, int label) {
   timers_.push({clock_.now() + wait, label});
-  arm_timer();
+  arm_engine_timer();
 }
 
-void Core::arm_timer() {
+void Core::arm_engine_timer() {
   if (timers_.empty()) return;
-  timer_.expires_after(to_timer_duration(std::max(0.0, timers_.top().at - clock_.read_now())));
-  timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-    if (!error && !alive.expired()) on_timer();
+  engine_timer_.expires_after(to_timer_duration(std::max(0.0, timers_.top().at - clock_.read_now())));
+  engine_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
+    if (!error && !alive.expired()) on_engine_timer();
   });
 }
 
-void Core::on_timer() {
+void Core::on_engine_timer() {
   double now = clock_.now();
+  // A timer that is due within 0.1 ms is passed on at once.
   while (!timers_.empty() && timers_.top().at <= now + 1e-4) {
     int label = timers_.top().label;
     timers_.pop();
     call_engine([&] { engine_->timer_expired(label); });
   }
-  arm_timer();
+  arm_engine_timer();
 }
 
-// Rule 1's last guard: the module answers in time by itself; should it ever not, the player still gets its
-// one answer.
+// The engine answers each play within its time limit. Should it fail to, the player still gets its one answer
+// from here (rule 1).
 void Core::check_deadlines() {
-  deadline_timer_.expires_after(to_timer_duration(kGuardEvery));
+  deadline_timer_.expires_after(to_timer_duration(kDeadlineCheckInterval));
   deadline_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
     double now = clock_.now();
@@ -455,7 +475,7 @@
       if (!is_current(ref)) continue;
       PlayRecord &play = plays_.at(ref.index);
       if (play.state != PlayState::requested && play.state != PlayState::allocating) continue;
-      counters_->overdue.Increment();
+      counters_->deadline_passed.Increment();
       play.cause = FailureCause::deadline_passed;
       log_.error("overdue", {{"serial", play.serial}, {"state", name_of(play.state)}});
       if (may_answer(ref.index)) player_gateway_.send_failure(ref.index);
@@ -465,20 +485,20 @@
   });
 }
 
-// ---- The list.
+// ---- The server list.
 
-void Core::on_list(ServerList list, bool whole) {
-  updates_.push_back({std::move(list), whole});
+void Core::queue_update(ServerList list, bool is_full) {
+  updates_.push_back({std::move(list), is_full});
   if (!applying_) apply_updates();
 }
 
-// A slice now and the next in a later turn, so that a long list does not hold up what is to be answered.
+// A long list is applied in slices, each in a handler of its own, so that it does not delay answers.
 void Core::apply_updates() {
   applying_ = true;
-  std::size_t left = kServersATurn;
+  std::size_t left = kServersPerSlice;
   while (!updates_.empty()) {
     ListUpdate &update = updates_.front();
-    std::size_t size = std::min(update.list.servers.size() - update.next, kServersATurn);
+    std::size_t size = std::min(update.list.servers.size() - update.next, kServersPerSlice);
     if (size > left) break;
     left -= size;
     if (apply_slice(update)) updates_.pop_front();
@@ -493,43 +513,44 @@
 }
 
 bool Core::apply_slice(ListUpdate &update) {
-  double from = telemetry::steady_seconds();
+  double start = telemetry::steady_seconds();
   if (update.is_full && update.next == 0) servers_.begin_full_list();
   std::vector<ServerEntry> entries;
-  auto tell = [&](int server) {
+  auto update_server = [&](int server) {
     send_guard_.set_server_status(server, servers_.at(server).status, clock_.now());
     server_gateway_.update_server(server, servers_.at(server));
     entries.push_back(entry_of(server));
   };
-  const std::vector<ListedServer> &said = update.list.servers;
-  std::size_t end = std::min(said.size(), update.next + kServersATurn);
-  for (; update.next < end; ++update.next) tell(servers_.apply(said[update.next]));
-  bool done = update.next == said.size();
-  if (done && update.is_full) { // what the whole list no longer names has left
-    for (int server : servers_.finish_full_list()) tell(server);
+  const std::vector<ListedServer> &listed_servers = update.list.servers;
+  std::size_t end = std::min(listed_servers.size(), update.next + kServersPerSlice);
+  for (; update.next < end; ++update.next) update_server(servers_.apply(listed_servers[update.next]));
+  bool done = update.next == listed_servers.size();
+  // Servers that the whole list no longer names have left.
+  if (done && update.is_full) {
+    for (int server : servers_.finish_full_list()) update_server(server);
   }
   ListUpdateKind kind =
       std::exchange(engine_has_list_, true) ? ListUpdateKind::changes : ListUpdateKind::initial;
   call_engine([&] { engine_->server_list_updated(kind, entries); });
-  double took = telemetry::steady_seconds() - from;
-  update.duration += took;
-  record_busy_time(took);
+  double duration = telemetry::steady_seconds() - start;
+  update.duration += duration;
+  record_busy_time(duration);
   if (done) finish_update(update);
   return done;
 }
 
 ServerEntry Core::entry_of(int server) {
-  const ListedServer &one = servers_.at(server);
+  const ListedServer &listed = servers_.at(server);
   ServerEntry entry;
   entry.server = server;
-  entry.stable_id = one.stable_id.value_or(hash53(one.id));
-  entry.hall = halls_.index_of(one.hall);
-  entry.kind = kinds_.find(one.kind);
-  if (entry.kind < 0) log_.warning("unknown_kind", {{"server", one.id}, {"kind", one.kind}});
-  entry.cell = one.cell;
-  entry.status = one.status;
-  entry.weight = one.weight;
-  entry.started_at = std::min(one.started_at, clock_.now());
+  entry.stable_id = listed.stable_id.value_or(hash53(listed.id));
+  entry.hall = halls_.index_of(listed.hall);
+  entry.kind = kinds_.find(listed.kind);
+  if (entry.kind < 0) log_.warning("unknown_kind", {{"server", listed.id}, {"kind", listed.kind}});
+  entry.cell = listed.cell;
+  entry.status = listed.status;
+  entry.weight = listed.weight;
+  entry.started_at = std::min(listed.started_at, clock_.now());
   return entry;
 }
 
@@ -546,21 +567,22 @@
                      {"took", update.duration}});
 }
 
-// ---- What operators see.
+// ---- State, for operators.
 
 std::vector<std::pair<std::string, std::uint64_t>> Core::answer_counts() {
-  std::map<std::string, std::uint64_t> sums;
+  std::map<std::string, std::uint64_t> counts;
   for (const auto &[key, counter] : counters_->by_outcome)
-    sums[std::string(key.first)] += static_cast<std::uint64_t>(counter->Value());
-  return {sums.begin(), sums.end()};
+    counts[std::string(key.first)] += static_cast<std::uint64_t>(counter->Value());
+  return {counts.begin(), counts.end()};
 }
 
 std::string Core::metrics_text() {
-  for (std::size_t s = 1; s < kPlayStates; ++s)
+  // From 1: state 0 is that of unused rows.
+  for (std::size_t state = 1; state < kPlayStates; ++state)
     metrics_
-        .gauge("snowshore_plays_open", "Plays in hand, by state",
-               {{"state", name_of(static_cast<PlayState>(s))}})
-        .Set(static_cast<double>(plays_.count(static_cast<PlayState>(s))));
+        .gauge("snowshore_plays_open", "Plays in the table, by state",
+               {{"state", name_of(static_cast<PlayState>(state))}})
+        .Set(static_cast<double>(plays_.count(static_cast<PlayState>(state))));
   counters_->list_age.Set(list_age());
   counters_->list_version.Set(static_cast<double>(list_version_));
   counters_->timers.Set(static_cast<double>(timers_.size()));
--- a/src/edge/core.h
+++ b/src/edge/core.h
@@ -61,8 +61,9 @@
 
 class Core final : public DecisionHandler {
  public:
-  Core(asio::io_context &io, CoreSettings settings, telemetry::Log &log, std::unique_ptr<ListSource> source,
-       PlayerGateway &players, ServerGateway &servers, DecisionEngineFactory make = make_decision_engine);
+  Core(asio::io_context &io, CoreSettings settings, telemetry::Log &log,
+       std::unique_ptr<ListSource> list_source, PlayerGateway &player_gateway, ServerGateway &server_gateway,
+       DecisionEngineFactory engine_factory = make_decision_engine);
   ~Core() override;
 
   // Starts the list source. on_catalogue gets the cells of titles, for gateways whose players do not send
@@ -101,8 +102,8 @@
   // ---- Calls from the player gateway. A play may be answered during the call that adds it.
   // Adds a play to the table; submit_play() follows, or forget_play() where it does not.
   PlayRef add_play(std::uint64_t id, const std::string &title);
-  // Passes the play to the engine. spent: seconds that the front end took to read the request.
-  void submit_play(int play, PlayRequest request, double spent = 0);
+  // Passes the play to the engine. reading_time: seconds that the front end took to read the request.
+  void submit_play(int play, PlayRequest request, double reading_time = 0);
   // Adds a play that already runs on a listed server. Returns nothing where no list names the server.
   std::optional<PlayRef> accept_handover(std::uint64_t id, const std::string &title,
                                          const std::string &server, PlayRequest request);
@@ -110,8 +111,9 @@
   void player_left(int play);
   // The player ended its running play.
   void play_released(int play);
-  // Shuts down: at this time each play without an answer fails, and no set-up continues past it.
-  void shut_down_by(double moment);
+  // Begins the shutdown: at `deadline` each play without an answer fails, and no set-up continues past that
+  // time.
+  void shut_down_by(double deadline);
   // A reference to the play that now has this index.
   PlayRef play_ref(int play) { return {play, plays_.at(play).serial}; }
   // Returns whether the referenced play is still in the table.
@@ -128,8 +130,8 @@
   // A running play has ended.
   void play_ended(int play, Outcome outcome, const LoadReport &report = {});
   void probe_answered(int server, Outcome outcome, const LoadReport &report);
-  // Ends all plays that were set up on the server before this time. `why` is the reason to log and count.
-  void server_lost(int server, const char *why, double before = 1e18);
+  // Ends all plays that were set up on the server before this time. `reason` is logged and counted.
+  void server_lost(int server, const char *reason, double before = 1e18);
 
   // ---- Changes of settings in service.
   // Passes new settings to the engine; plays in progress keep the time limits that they have.
@@ -150,11 +152,11 @@
   // All metrics as text, with gauges set to the current values.
   std::string metrics_text();
   // Counts an ended play under this reason.
-  void count_ended_play(const char *why);
+  void count_ended_play(const char *reason);
 
   // ---- DecisionHandler: carries out the engine's decisions.
   void set_rung(int play, int rung) override;
-  void start_allocation(int play, int server, double time_out) override;
+  void start_allocation(int play, int server, double timeout) override;
   void decline_play(int play, double retry_after) override;
   void fail_play(int play) override;
   void move_play(int play) override;
@@ -162,7 +164,7 @@
   void forget_play(int play) override;
   void forget_server(int server) override;
   void probe_server(int server) override;
-  void request_server_list() override { source_->request_list(); }
+  void request_server_list() override { list_source_->request_list(); }
   void set_timer(double wait, int label) override;
   void log_message(const std::string &text) override { log_.info("module", {{"text", text}}); }
 
@@ -182,13 +184,16 @@
 
   // Sets the engine's time, makes the call and measures its duration.
   template <class F> void call_engine(F call) {
-    auto from = std::chrono::steady_clock::now();
+    auto start = std::chrono::steady_clock::now();
     engine_->set_time(clock_.now());
     call();
-    record_call_duration(std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count());
+    record_call_duration(std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count());
   }
+  // Records the duration of one engine call in the metrics and as busy time.
   void record_call_duration(double seconds);
+  // Records for take_call_durations() how long a call blocked the executor.
   void record_busy_time(double seconds);
+  // Makes the engine from settings_ and passes it the servers that are known.
   void make_engine();
   // Counts and logs an answer that was sent.
   void record_answer(int play, const char *outcome);
@@ -201,19 +206,27 @@
     // Seconds spent on it so far.
     double duration = 0;
   };
-  void on_list(ServerList list, bool whole);
+  // Queues a list or change, and starts to apply it where no update is in progress.
+  void queue_update(ServerList list, bool is_full);
+  // Applies the next slice, and posts itself until no update is left.
   void apply_updates();
   // Returns true once the update is applied in full.
   bool apply_slice(ListUpdate &update);
+  // Records the version and time of an applied update, and logs it.
   void finish_update(const ListUpdate &update);
+  // The engine's entry for a listed server.
   ServerEntry entry_of(int server);
-  void on_timer();
-  void arm_timer();
+  // Passes all expired timers to the engine.
+  void on_engine_timer();
+  // Sets engine_timer_ for the engine's earliest timer.
+  void arm_engine_timer();
   // Fails the plays whose time limit has passed without an answer.
   void check_deadlines();
-  void give_up_all();
-  // Checked right before the play's only answer is sent.
+  // At the end of the shutdown's time: cancels each pending set-up and reports it as timed out.
+  void cancel_pending_set_ups();
+  // Asks the guard right before the play's only answer is sent, and marks the play as answered.
   bool may_answer(int play);
+  // Seconds for which a leaving server still accepts set-ups, from the settings.
   double drain_grace() const;
 
   asio::io_context &io_;
@@ -234,14 +247,17 @@
   CallDurations call_durations_;
   std::uint64_t list_version_ = 0;
   double list_at_ = 0, last_allocation_at_ = -1e9;
+  // applying_: an update is in progress, and apply_updates() is posted.
   bool has_list_ = false, engine_has_list_ = false, applying_ = false;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
-  asio::steady_timer timer_, deadline_timer_, shutdown_timer_;
+  asio::steady_timer engine_timer_, deadline_timer_, shutdown_timer_;
+  // Infinite, in effect, until a shutdown begins.
   double shutdown_at_ = 1e18;
-  std::unique_ptr<ListSource> source_;
+  std::unique_ptr<ListSource> list_source_;
   DecisionEngineFactory engine_factory_;
   std::unique_ptr<DecisionEngine> engine_;
+  // Expires with the core; pending callbacks hold a weak pointer to it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/edge/doors.h
+++ b/src/edge/doors.h
@@ -50,18 +50,18 @@
 class ServerGateway {
  public:
   virtual ~ServerGateway() = default;
-  // Sets the play up on a server; the gateway owes one call of Core::set_up_ended() for it.
+  // Sets the play up on a server; the gateway must call Core::set_up_ended() once for it.
   virtual void start_set_up(int play, const Allocation &allocation) = 0;
-  // Cancels the pending set-up; nobody waits for its result any more. `why` is the reason to send and log.
-  virtual void cancel_set_up(int play, std::string_view why) = 0;
-  // The core now holds this play, which already runs on its server. The gateway may now report what the
-  // server said of it earlier.
+  // Cancels the pending set-up; nobody waits for its result any more. `reason` is sent and logged.
+  virtual void cancel_set_up(int play, std::string_view reason) = 0;
+  // The core has added this play, which already runs on its server. The gateway may now report events of the
+  // play that it got from the server earlier.
   virtual void play_handed_over(int play) = 0;
   // Changes the rung of a running play.
   virtual void change_rung(int play, int rung) = 0;
   // Ends a running play.
-  virtual void end_play(int play, std::string_view why) = 0;
-  // Asks the server whether it answers; the gateway owes one call of Core::probe_answered() for it.
+  virtual void end_play(int play, std::string_view reason) = 0;
+  // Asks the server whether it answers; the gateway must call Core::probe_answered() once for it.
   virtual void probe_server(int server) = 0;
   // Discovery has added or changed the server.
   virtual void update_server(int server, const ListedServer &entry) = 0;
--- a/src/edge/list_source.cpp
+++ b/src/edge/list_source.cpp
@@ -1,3 +1,4 @@
+// The list source that reads record files, in two variants: one watches them with inotify, one polls them.
 #include "edge/list_source.h"
 #include "site/front_record.h"
 #include "telemetry/loop_clock.h"
@@ -16,10 +17,13 @@
 
 namespace {
 
-constexpr std::uint32_t kWatched = IN_CLOSE_WRITE | IN_MOVED_TO | IN_CREATE | IN_DELETE | IN_MOVED_FROM;
+// The events by which a file in a watched folder gets new contents, appears or disappears.
+constexpr std::uint32_t kWatchedEvents = IN_CLOSE_WRITE | IN_MOVED_TO | IN_CREATE | IN_DELETE | IN_MOVED_FROM;
 
-constexpr double kPollEvery = 0.1; // seconds, where the system has no watch to give
+// Seconds between two polls of the files.
+constexpr double kPollInterval = 0.1;
 
+// The folders of both files, each once.
 std::set<std::string> folders_of(const std::string &list, const std::string &catalogue) {
   std::set<std::string> folders;
   for (const std::string &file : {list, catalogue}) {
@@ -29,11 +33,11 @@
   return folders;
 }
 
-// The two files read and told of; when to read again is the derived class's.
-class Files : public ListSource {
+// Reads the two files and reports their contents. The derived class decides when to read them again.
+class FileSource : public ListSource {
  public:
-  Files(asio::io_context &io, std::string list, std::string catalogue)
-      : io_(io), list_(std::move(list)), catalogue_(std::move(catalogue)) {}
+  FileSource(asio::io_context &io, std::string list, std::string catalogue)
+      : io_(io), list_path_(std::move(list)), catalogue_path_(std::move(catalogue)) {}
 
   void start(Events events) override {
     events_ = std::move(events);
@@ -41,7 +45,7 @@
       if (alive.expired()) return;
       read_catalogue_file();
       read_list_file();
-      wait();
+      wait_for_change();
     });
   }
 
@@ -52,11 +56,12 @@
   }
 
  protected:
-  virtual void wait() = 0; // for the next change; reads what has changed, then waits again
+  // Waits for the next change, reads what has changed, and waits again.
+  virtual void wait_for_change() = 0;
 
   void read_list_file() {
     try {
-      events_.list(parse_server_list(list_, records::load_file(list_).text));
+      events_.list(parse_server_list(list_path_, records::load_file(list_path_).text));
     } catch (const records::RecordError &error) {
       events_.unavailable(error.what());
     }
@@ -64,33 +69,35 @@
 
   void read_catalogue_file() {
     try {
-      events_.catalogue(parse_catalogue(catalogue_, records::load_file(catalogue_).text));
+      events_.catalogue(parse_catalogue(catalogue_path_, records::load_file(catalogue_path_).text));
     } catch (const records::RecordError &error) {
       events_.unavailable(error.what());
     }
   }
 
   asio::io_context &io_;
-  std::string list_, catalogue_;
+  std::string list_path_, catalogue_path_;
   Events events_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-class WatchedFiles final : public Files {
+class WatchedFileSource final : public FileSource {
  public:
-  WatchedFiles(asio::io_context &io, const std::string &list, const std::string &catalogue)
-      : Files(io, list, catalogue), stream_(io) {
+  WatchedFileSource(asio::io_context &io, const std::string &list, const std::string &catalogue)
+      : FileSource(io, list, catalogue), stream_(io) {
     int fd = inotify_init1(IN_NONBLOCK | IN_CLOEXEC);
-    if (fd < 0) throw std::system_error(errno, std::system_category(), "cannot watch the server list");
+    if (fd < 0)
+      throw std::system_error(errno, std::system_category(),
+                              "cannot create an inotify instance for the server list");
     stream_.assign(fd);
     for (const std::string &folder : folders_of(list, catalogue)) {
-      if (inotify_add_watch(fd, folder.c_str(), kWatched) < 0)
+      if (inotify_add_watch(fd, folder.c_str(), kWatchedEvents) < 0)
         throw std::system_error(errno, std::system_category(), "cannot watch the folder " + folder);
     }
   }
 
  private:
-  void wait() override {
+  void wait_for_change() override {
     stream_.async_read_some(asio::buffer(buffer_), [this, alive = std::weak_ptr<bool>(alive_)](
                                                        asio::error_code error, std::size_t size) {
       if (alive.expired() || error) return;
@@ -99,14 +106,15 @@
         inotify_event event;
         std::memcpy(&event, buffer_.data() + at, sizeof event);
         std::string name = event.len ? std::string(buffer_.data() + at + sizeof event) : "";
-        bool lost = (event.mask & IN_Q_OVERFLOW) != 0; // events were dropped: both are read anew
-        list = list || lost || name == std::filesystem::path(list_).filename();
-        catalogue = catalogue || lost || name == std::filesystem::path(catalogue_).filename();
+        // The queue overflowed and events were dropped, so both files are read again.
+        bool overflowed = (event.mask & IN_Q_OVERFLOW) != 0;
+        list = list || overflowed || name == std::filesystem::path(list_path_).filename();
+        catalogue = catalogue || overflowed || name == std::filesystem::path(catalogue_path_).filename();
         at += sizeof event + event.len;
       }
       if (catalogue) read_catalogue_file();
       if (list) read_list_file();
-      wait();
+      wait_for_change();
     });
   }
 
@@ -114,49 +122,51 @@
   alignas(inotify_event) std::array<char, 16384> buffer_;
 };
 
-// Looks at both files' stamps; a file that is gone has none.
-class PolledFiles final : public Files {
+// Polls the inode, size and modification time of both files; a missing file has zeros.
+class PolledFileSource final : public FileSource {
  public:
-  PolledFiles(asio::io_context &io, const std::string &list, const std::string &catalogue)
-      : Files(io, list, catalogue), timer_(io) {
+  PolledFileSource(asio::io_context &io, const std::string &list, const std::string &catalogue)
+      : FileSource(io, list, catalogue), timer_(io) {
     for (const std::string &folder : folders_of(list, catalogue)) {
       if (!std::filesystem::is_directory(folder))
         throw std::system_error(ENOENT, std::system_category(), "cannot watch the folder " + folder);
     }
-    changed(list_, list_stamp_), changed(catalogue_, catalogue_stamp_);
+    has_changed(list_path_, list_stamp_);
+    has_changed(catalogue_path_, catalogue_stamp_);
   }
   bool is_polling() const override { return true; }
 
  private:
-  struct Stamp {
-    ino_t file = 0;
+  struct FileStamp {
+    ino_t inode = 0;
     off_t size = 0;
-    timespec written{};
-    bool operator==(const Stamp &o) const {
-      return file == o.file && size == o.size && written.tv_sec == o.written.tv_sec &&
-             written.tv_nsec == o.written.tv_nsec;
+    timespec modified{};
+    bool operator==(const FileStamp &other) const {
+      return inode == other.inode && size == other.size && modified.tv_sec == other.modified.tv_sec &&
+             modified.tv_nsec == other.modified.tv_nsec;
     }
   };
 
-  static bool changed(const std::string &name, Stamp &last) {
-    struct stat now {};
-    Stamp next;
-    if (stat(name.c_str(), &now) == 0) next = {now.st_ino, now.st_size, now.st_mtim};
+  // Returns whether the file differs from the last poll, and keeps the new stamp.
+  static bool has_changed(const std::string &name, FileStamp &last) {
+    struct stat info {};
+    FileStamp next;
+    if (stat(name.c_str(), &info) == 0) next = {info.st_ino, info.st_size, info.st_mtim};
     return !(std::exchange(last, next) == next);
   }
 
-  void wait() override {
-    timer_.expires_after(telemetry::to_timer_duration(kPollEvery));
+  void wait_for_change() override {
+    timer_.expires_after(telemetry::to_timer_duration(kPollInterval));
     timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
       if (alive.expired() || error) return;
-      if (changed(catalogue_, catalogue_stamp_)) read_catalogue_file();
-      if (changed(list_, list_stamp_)) read_list_file();
-      wait();
+      if (has_changed(catalogue_path_, catalogue_stamp_)) read_catalogue_file();
+      if (has_changed(list_path_, list_stamp_)) read_list_file();
+      wait_for_change();
     });
   }
 
   asio::steady_timer timer_;
-  Stamp list_stamp_, catalogue_stamp_;
+  FileStamp list_stamp_, catalogue_stamp_;
 };
 
 } // namespace
@@ -164,50 +174,52 @@
 ServerList parse_server_list(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
   records::Record record = records::read(files, site::front_schema(), "#List");
-  ServerList out;
-  out.version = static_cast<std::uint64_t>(record.number("version"));
+  ServerList result;
+  result.version = static_cast<std::uint64_t>(record.number("version"));
   std::set<std::string> ids;
-  records::Diagnostics faults;
-  for (const records::Record &one : record.items("servers")) {
+  records::Diagnostics errors;
+  for (const records::Record &item : record.items("servers")) {
     ListedServer server;
-    server.id = one.text("id");
-    server.hall = one.text("hall"), server.kind = one.text("kind");
-    server.cell = one.integer("cell");
-    server.weight = one.number("weight"), server.started_at = one.number("started");
-    std::string standing = one.text("standing");
-    server.status = standing == "active"    ? ServerStatus::active
-                    : standing == "leaving" ? ServerStatus::leaving
-                                            : ServerStatus::left;
+    server.id = item.text("id");
+    server.hall = item.text("hall");
+    server.kind = item.text("kind");
+    server.cell = item.integer("cell");
+    server.weight = item.number("weight");
+    server.started_at = item.number("started");
+    std::string status = item.text("standing");
+    server.status = status == "active"    ? ServerStatus::active
+                    : status == "leaving" ? ServerStatus::leaving
+                                          : ServerStatus::left;
     try {
-      server.address = site::parse_endpoint(one.text("address"));
+      server.address = site::parse_endpoint(item.text("address"));
     } catch (const std::invalid_argument &error) {
-      faults.push_back(
-          {one.at("address").value().location, one.path() + ".address", "an address and port", error.what()});
+      errors.push_back({item.at("address").value().location, item.path() + ".address", "an address and port",
+                        error.what()});
     }
     if (!ids.insert(server.id).second)
-      faults.push_back({one.at("id").value().location, one.path() + ".id",
-                        "an id that stands once in the list", server.id});
-    out.servers.push_back(std::move(server));
+      errors.push_back({item.at("id").value().location, item.path() + ".id",
+                        "an id that no other server of the list has", server.id});
+    result.servers.push_back(std::move(server));
   }
-  if (!faults.empty()) throw records::RecordError(std::move(faults));
-  return out;
+  if (!errors.empty()) throw records::RecordError(std::move(errors));
+  return result;
 }
 
 Catalogue parse_catalogue(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
   records::Record record = records::read(files, site::front_schema(), "#Catalogue");
-  Catalogue out;
-  for (const auto &[title, place] : record.at("titles").fields())
-    out[title] = {place.integer("cell"), place.integer("cells")};
-  return out;
+  Catalogue result;
+  for (const auto &[title, cells] : record.at("titles").fields())
+    result[title] = {cells.integer("cell"), cells.integer("cells")};
+  return result;
 }
 
 std::unique_ptr<ListSource> watch_files(asio::io_context &io, const std::string &list,
                                         const std::string &catalogue) {
   try {
-    return std::make_unique<WatchedFiles>(io, list, catalogue);
+    return std::make_unique<WatchedFileSource>(io, list, catalogue);
   } catch (const std::system_error &error) {
-    // Many fronts of one user on a machine: the system's watches are all given out.
+    // The user's limit of inotify instances or watches is reached, as with many front ends on one machine.
     if (error.code().value() != EMFILE && error.code().value() != ENOSPC) throw;
     return poll_files(io, list, catalogue);
   }
@@ -215,7 +227,7 @@
 
 std::unique_ptr<ListSource> poll_files(asio::io_context &io, const std::string &list,
                                        const std::string &catalogue) {
-  return std::make_unique<PolledFiles>(io, list, catalogue);
+  return std::make_unique<PolledFileSource>(io, list, catalogue);
 }
 
 } // namespace snowshore::edge
--- a/src/edge/list_source.h
+++ b/src/edge/list_source.h
@@ -38,7 +38,7 @@
     // A whole catalogue, which replaces the previous one.
     std::function<void(Catalogue)> catalogue;
     // The source cannot be read; the previous list stays in force.
-    std::function<void(const std::string &why)> unavailable;
+    std::function<void(const std::string &reason)> unavailable;
   };
   virtual ~ListSource() = default;
   virtual void start(Events events) = 0;
--- a/src/edge/plays.cpp
+++ b/src/edge/plays.cpp
@@ -1,3 +1,4 @@
+// The table of plays: the allowed changes of state, and the indices by id and by server.
 #include "edge/plays.h"
 
 #include <stdexcept>
@@ -6,23 +7,24 @@
 
 namespace {
 
-using S = PlayState;
+using State = PlayState;
 
-// From what to what a play may go; anything else is a defect of the front and stops it.
-constexpr bool allowed(S from, S to) {
+// Returns whether a play may change from one state to the other. Any other change is a defect of the front
+// end, for which set_state() throws.
+constexpr bool is_allowed(State from, State to) {
   switch (from) {
-  case S::unused:
-    return to == S::requested;
-  case S::requested:
-    return to == S::allocating || to == S::answered || to == S::unused || to == S::playing;
-  case S::allocating:
-    return to == S::requested || to == S::playing || to == S::abandoned;
-  case S::playing:
-    return to == S::unused;
-  case S::abandoned:
-    return to == S::unused;
-  case S::answered:
-    return to == S::unused;
+  case State::unused:
+    return to == State::requested;
+  case State::requested:
+    return to == State::allocating || to == State::answered || to == State::unused || to == State::playing;
+  case State::allocating:
+    return to == State::requested || to == State::playing || to == State::abandoned;
+  case State::playing:
+    return to == State::unused;
+  case State::abandoned:
+    return to == State::unused;
+  case State::answered:
+    return to == State::unused;
   }
   return false;
 }
@@ -68,7 +70,7 @@
   }
   at(index).id = id;
   by_id_[id] = index;
-  set_state(index, S::requested);
+  set_state(index, State::requested);
   return index;
 }
 
@@ -79,35 +81,37 @@
 
 void PlayTable::set_state(int index, PlayState next) {
   PlayRecord &play = at(index);
-  if (!allowed(play.state, next))
-    throw std::logic_error("play " + std::to_string(play.id) + " cannot go from " + name_of(play.state) +
-                           " to " + name_of(next));
-  if ((play.state == S::playing) != (next == S::playing)) update_server_index(index, next == S::playing);
-  if (play.state != S::unused) --counts_[static_cast<std::size_t>(play.state)];
-  if (next != S::unused) ++counts_[static_cast<std::size_t>(next)];
+  if (!is_allowed(play.state, next))
+    throw std::logic_error("play " + std::to_string(play.id) + " cannot change from state " +
+                           name_of(play.state) + " to " + name_of(next));
+  if ((play.state == State::playing) != (next == State::playing))
+    update_server_index(index, next == State::playing);
+  if (play.state != State::unused) --counts_[static_cast<std::size_t>(play.state)];
+  if (next != State::unused) ++counts_[static_cast<std::size_t>(next)];
   play.state = next;
-  if (next != S::unused) return;
+  if (next != State::unused) return;
   by_id_.erase(play.id);
   play = {};
   unused_.push_back(index);
 }
 
-void PlayTable::update_server_index(int index, bool plays) {
+void PlayTable::update_server_index(int index, bool is_playing) {
   PlayRecord &play = at(index);
   if (play.server < 0) return;
-  auto place = static_cast<std::size_t>(play.server);
-  if (place >= playing_at_.size()) playing_at_.resize(place + 1);
-  std::vector<int> &there = playing_at_[place];
-  if (plays) {
-    play.server_position = there.size();
-    there.push_back(index);
+  auto server_row = static_cast<std::size_t>(play.server);
+  if (server_row >= playing_at_.size()) playing_at_.resize(server_row + 1);
+  std::vector<int> &on_server = playing_at_[server_row];
+  if (is_playing) {
+    play.server_position = on_server.size();
+    on_server.push_back(index);
     servers_with_plays_.add(play.server);
     return;
   }
-  at(there.back()).server_position = play.server_position; // the last takes its place
-  there[play.server_position] = there.back();
-  there.pop_back();
-  if (there.empty()) servers_with_plays_.remove(play.server);
+  // The last play of the server takes the removed one's position.
+  at(on_server.back()).server_position = play.server_position;
+  on_server[play.server_position] = on_server.back();
+  on_server.pop_back();
+  if (on_server.empty()) servers_with_plays_.remove(play.server);
 }
 
 } // namespace snowshore::edge
--- a/src/edge/plays.h
+++ b/src/edge/plays.h
@@ -15,7 +15,7 @@
 
 namespace snowshore::edge {
 
-// `leaving` plays have lost their player while a set-up was pending.
+// An `abandoned` play has lost its player while a set-up was pending; `unused` rows hold no play.
 enum class PlayState { unused, requested, allocating, playing, abandoned, answered };
 inline constexpr std::size_t kPlayStates = 6;
 // The written name, as in logs and metrics.
@@ -81,8 +81,8 @@
   std::size_t count(PlayState state) const { return counts_[static_cast<std::size_t>(state)]; }
   // The plays that run on this server.
   std::span<const int> playing_at(int server) const {
-    auto place = static_cast<std::size_t>(server);
-    return place < playing_at_.size() ? std::span<const int>(playing_at_[place]) : std::span<const int>();
+    auto row = static_cast<std::size_t>(server);
+    return row < playing_at_.size() ? std::span<const int>(playing_at_[row]) : std::span<const int>();
   }
   // The servers on which any play runs.
   const SortedIndices &servers_with_plays() const { return servers_with_plays_; }
@@ -94,8 +94,8 @@
   }
 
  private:
-  // Adds the play to the plays of its server, or removes it.
-  void update_server_index(int index, bool plays);
+  // Adds the play to playing_at_ of its server where it starts to run, and removes it where it ends.
+  void update_server_index(int index, bool is_playing);
 
   std::vector<PlayRecord> plays_;
   // Indices of running plays, by server.
@@ -103,7 +103,9 @@
   SortedIndices servers_with_plays_;
   // Unused rows.
   std::vector<int> unused_;
+  // Index of each play, by its id.
   std::unordered_map<std::uint64_t, int> by_id_;
+  // Number of plays by state.
   std::array<std::size_t, kPlayStates> counts_{};
 };
 
--- a/src/edge/send_guard.h
+++ b/src/edge/send_guard.h
@@ -45,24 +45,25 @@
   SendGuard(telemetry::Log &log, double drain_grace) : log_(log), drain_grace_(drain_grace) {}
   void set_drain_grace(double seconds) { drain_grace_ = seconds; }
 
-  // ---- Facts.
-  void set_server_status(int server, ServerStatus standing, double now);
+  // ---- Events that the guard needs to know.
+  void set_server_status(int server, ServerStatus status, double now);
   void remove_server(int server);
   // A set-up of the play with this id was sent to the server, and has ended.
-  void attempt_started(std::uint64_t session, int server) { pending_[session] = server; }
-  void attempt_finished(std::uint64_t session) { pending_.erase(session); }
+  void attempt_started(std::uint64_t play_id, int server) { pending_[play_id] = server; }
+  void attempt_finished(std::uint64_t play_id) { pending_.erase(play_id); }
   // No set-up may begin after this time.
-  void set_shutdown_time(double moment) { shutdown_at_ = moment; }
+  void set_shutdown_time(double deadline) { shutdown_at_ = deadline; }
 
   // ---- Checks. Each returns whether the action may be done; a denial is counted and logged.
   // For a first set-up and for a repeated one.
-  bool may_attempt(const PlayRecord &session, int server, double now);
-  bool may_answer(const PlayRecord &session);
-  bool may_release(const PlayRecord &session);
+  bool may_attempt(const PlayRecord &play, int server, double now);
+  bool may_answer(const PlayRecord &play);
+  bool may_release(const PlayRecord &play);
+  // A plain query, which is never counted as a denial.
   bool has_left(int server) const;
   bool may_connect(int server);
-  // owes: answers or releases are still unsent. waits_until: the end of the shutdown's time budget.
-  bool may_exit(bool owes, double now, double waits_until);
+  // has_unsent: answers or releases are still unsent. budget_end: the end of the shutdown's time budget.
+  bool may_exit(bool has_unsent, double now, double budget_end);
 
   // Number of denials so far, of one action and in total.
   std::uint64_t denied(GuardedAction action) const { return denied_[static_cast<std::size_t>(action)]; }
@@ -71,19 +72,23 @@
   std::size_t pending_attempts() const { return pending_.size(); }
 
  private:
+  // The last status that discovery gave, and since when the server leaves.
   struct ServerInfo {
     ServerStatus status = ServerStatus::active;
     double leaving_since = 0;
   };
-  bool decide(GuardedAction action, DenialReason denial, std::uint64_t session, int server);
-  DenialReason denial_of_attempt(const PlayRecord &session, int server, double now) const;
+  // Counts and logs a denial; returns whether the action may be done.
+  bool allow_or_report(GuardedAction action, DenialReason denial, std::uint64_t play_id, int server);
+  // Why the set-up may not be sent, or DenialReason::none.
+  DenialReason denial_of_attempt(const PlayRecord &play, int server, double now) const;
 
   telemetry::Log &log_;
   double drain_grace_, shutdown_at_ = 1e18;
-  // By index.
+  // By server index.
   std::vector<ServerInfo> servers_;
   // The server of each pending set-up, by the play's id.
   std::unordered_map<std::uint64_t, int> pending_;
+  // Number of denials by action.
   std::array<std::uint64_t, kActions> denied_{};
 };
 
--- a/src/edge/serve.cpp
+++ b/src/edge/serve.cpp
@@ -1,3 +1,4 @@
+// Waits for signals on the executor, and runs it in batches of handlers.
 #include "edge/serve.h"
 
 #include <csignal>
@@ -6,43 +7,44 @@
 namespace snowshore::edge {
 
 namespace {
-constexpr int kTurnLimit = 256; // handlers of one turn, all under one clock reading
-}
+// Handlers that run under one reading of the clock.
+constexpr int kMaxHandlersPerBatch = 256;
+} // namespace
 
-asio::signal_set keep_signals(asio::io_context &io) {
+asio::signal_set register_signals(asio::io_context &io) {
   std::signal(SIGPIPE, SIG_IGN);
   return asio::signal_set(io, SIGTERM, SIGINT, SIGHUP);
 }
 
 void serve(asio::io_context &io, asio::signal_set &signals, telemetry::LoopClock &clock, telemetry::Log &log,
-           Signals on) {
+           SignalHandlers handlers) {
   bool draining = false;
-  std::function<void()> wait = [&] {
+  std::function<void()> wait_for_signal = [&] {
     signals.async_wait([&](asio::error_code error, int signal) {
       if (error) return;
       if (signal != SIGHUP) {
         if (!std::exchange(draining, true)) {
           log.info("draining", {{"signal", signal}});
-          on.drain([&] {
+          handlers.drain([&] {
             log.info("drained");
             io.stop();
           });
         }
-        return wait();
+        return wait_for_signal();
       }
       try {
-        on.read_again();
-      } catch (const std::exception &bad) {
-        log.error("reload_refused", {{"cause", bad.what()}});
+        handlers.reload();
+      } catch (const std::exception &exception) {
+        log.error("reload_refused", {{"cause", exception.what()}});
       }
-      wait();
+      wait_for_signal();
     });
   };
-  wait();
+  wait_for_signal();
   while (!io.stopped()) {
     clock.invalidate();
     if (io.run_one() == 0) break;
-    for (int i = 0; i < kTurnLimit && io.poll_one() > 0; ++i) {
+    for (int i = 0; i < kMaxHandlersPerBatch && io.poll_one() > 0; ++i) {
     }
   }
 }
--- a/src/edge/serve.h
+++ b/src/edge/serve.h
@@ -1,5 +1,5 @@
-// A front's process at work: turns of its loop, each under one clock reading, and the signals. SIGHUP reads
-// the configuration again, SIGTERM and SIGINT end as planned.
+// The event loop of a front end's process, with its signals: SIGHUP reads the configuration again, SIGTERM
+// and SIGINT drain the front end and then end the process.
 #pragma once
 #include "telemetry/log.h"
 #include "telemetry/loop_clock.h"
@@ -10,17 +10,21 @@
 
 namespace snowshore::edge {
 
-struct Signals {
-  std::function<void()> read_again;                      // what it throws is a refusal, said in the log
-  std::function<void(std::function<void()> done)> drain; // done ends the process
+// What serve() calls on the executor when a signal comes.
+struct SignalHandlers {
+  // Called for SIGHUP. An exception is logged as a refused reload.
+  std::function<void()> reload;
+  // Called for the first SIGTERM or SIGINT; calling `done` ends serve().
+  std::function<void(std::function<void()> done)> drain;
 };
 
-// Made before anything that takes time: from then on signals are kept until serve() looks at them, and a
-// closed log or connection does not end the process.
-asio::signal_set keep_signals(asio::io_context &io);
+// Registers the signals and ignores SIGPIPE, so that a closed log or connection does not end the process.
+// Called before anything that takes time: signals that come from then on are kept until serve() handles them.
+asio::signal_set register_signals(asio::io_context &io);
 
-// Returns once drained. While draining, SIGHUP is still heard; another SIGTERM or SIGINT changes nothing.
+// Runs the executor and returns once it is drained. The clock is read once for each batch of handlers. While
+// draining, SIGHUP is still handled; another SIGTERM or SIGINT has no effect.
 void serve(asio::io_context &io, asio::signal_set &signals, telemetry::LoopClock &clock, telemetry::Log &log,
-           Signals on);
+           SignalHandlers handlers);
 
 } // namespace snowshore::edge
--- a/src/feed/client.cpp
+++ b/src/feed/client.cpp
@@ -153,7 +153,7 @@
   asio::error_code ignored;
   socket_.close(ignored);
   become(State::pausing);
-  pause_timer_.expires_after(to_timer_duration(pauses_.next()));
+  pause_timer_.expires_after(to_timer_duration(pauses_.next_delay()));
   pause_timer_.async_wait([this, turn = turn_, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (!error && !alive.expired() && turn == turn_) connect();
   });
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -19,7 +19,7 @@
 int run_platform(const std::string &log_level) {
   try {
     asio::io_context io(1);
-    asio::signal_set signals = edge::keep_signals(io);
+    asio::signal_set signals = edge::register_signals(io);
     std::string file = variable("NODE_CONFIG");
     if (file.empty()) throw NodeConfigError("NODE_CONFIG: is not set");
     NodeConfig boot = load_node_config(file);
--- a/src/program/beside.h
+++ b/src/program/beside.h
@@ -1,4 +1,4 @@
-// What may stand beside the edge in its process: management, in builds that have it.
+// The management interface that runs in the edge's process, in builds that have it.
 #pragma once
 #include "edge/edge.h"
 
@@ -8,16 +8,24 @@
 
 namespace snowshore::program {
 
-class Beside {
+// Its functions are called in the thread of the edge's executor.
+class ManagementInterface {
  public:
-  virtual ~Beside() = default;
-  virtual site::FrontConfig start(const site::FrontConfig &record) = 0;                // the record in force
-  virtual int attach(asio::io_context &io, edge::Edge &edge, telemetry::Log &log) = 0; // its port
-  virtual void take_files(const site::FrontConfig &next) = 0; // on SIGHUP; says in the log what came of it
-  virtual void detach() = 0;                                  // before the edge goes
+  virtual ~ManagementInterface() = default;
+  // Reads the stored history and returns the configuration in force. `config`, which the files give, becomes
+  // a new revision where the files have changed since they were last read.
+  virtual site::FrontConfig start(const site::FrontConfig &config) = 0;
+  // Starts to serve the edge; returns the port.
+  virtual int attach(asio::io_context &io, edge::Edge &edge, telemetry::Log &log) = 0;
+  // Called on SIGHUP with the files' configuration; logs whether it was applied.
+  virtual void apply_files(const site::FrontConfig &next) = 0;
+  // Stops serving; called before the edge is destroyed.
+  virtual void detach() = 0;
 };
 
-// Nothing where the record asks for none; throws where it does and this build has none.
-std::unique_ptr<Beside> make_beside(const site::FrontConfig &record, const std::string &version);
+// Returns null where the configuration has management off. Throws std::runtime_error where it is on and this
+// build has no management.
+std::unique_ptr<ManagementInterface> make_management(const site::FrontConfig &config,
+                                                     const std::string &version);
 
 } // namespace snowshore::program
--- a/src/program/managed.cpp
+++ b/src/program/managed.cpp
@@ -1,3 +1,4 @@
+// The management interface in the edge's process: its own threads, which reach the edge through its executor.
 #include "management/service.h"
 #include "program/beside.h"
 
@@ -13,115 +14,123 @@
 using management::ConfigManager;
 using site::FrontConfig;
 
-// Management's threads reach the front through its executor: a call is posted, its answer waited for. Once
-// shut, all calls end with FrontStopping, also those that wait.
-class PortOnExecutor final : public management::FrontControl {
+// Calls the edge on its executor for management's threads: a call is posted, and the calling thread waits for
+// its result. After stop(), all calls throw FrontStopping, also those that wait.
+class ExecutorFrontControl final : public management::FrontControl {
  public:
-  PortOnExecutor(asio::io_context &io, Edge &edge) : io_(io), edge_(edge) {}
+  ExecutorFrontControl(asio::io_context &io, Edge &edge) : io_(io), edge_(edge) {}
   std::optional<std::string> check_config(const FrontConfig &next, bool drained) override {
     return call<std::optional<std::string>>(
-        [this, next, drained] { return edge_.refusal_of(next, drained); });
+        [this, next, drained] { return edge_.check_config(next, drained); });
   }
   std::optional<std::string> apply_config(const FrontConfig &next, bool drained) override {
-    return call<std::optional<std::string>>([this, next, drained] { return edge_.change(next, drained); });
+    return call<std::optional<std::string>>(
+        [this, next, drained] { return edge_.apply_config(next, drained); });
   }
   site::FrontSnapshot state() override {
     return call<site::FrontSnapshot>([this] { return edge_.state(); });
   }
-  void shut() {
+  // Called in the executor's thread.
+  void stop() {
     std::lock_guard lock(mutex_);
-    shut_ = true;
-    wake_.notify_all();
+    stopped_ = true;
+    state_changed_.notify_all();
   }
 
  private:
-  template <class R, class F> R call(F f) {
-    struct Box {
-      std::optional<R> result;
+  // Returns the function's value, or throws what it threw.
+  template <class Result, class Function> Result call(Function function) {
+    struct CallResult {
+      std::optional<Result> value;
       std::exception_ptr error;
     };
-    auto box = std::make_shared<Box>();
+    auto call_result = std::make_shared<CallResult>();
     std::unique_lock lock(mutex_);
-    if (shut_) throw management::FrontStopping();
-    asio::post(io_, [this, box, f = std::move(f)] {
-      std::optional<R> result;
+    if (stopped_) throw management::FrontStopping();
+    asio::post(io_, [this, call_result, function = std::move(function)] {
+      std::optional<Result> value;
       std::exception_ptr error;
       try {
-        result = f();
+        value = function();
       } catch (...) {
         error = std::current_exception();
       }
-      std::lock_guard done(mutex_);
-      box->result = std::move(result), box->error = error;
-      wake_.notify_all();
+      std::lock_guard result_lock(mutex_);
+      call_result->value = std::move(value);
+      call_result->error = error;
+      state_changed_.notify_all();
     });
-    wake_.wait(lock, [&] { return shut_ || box->result || box->error; });
-    if (box->error) std::rethrow_exception(box->error);
-    if (!box->result) throw management::FrontStopping();
-    return std::move(*box->result);
+    state_changed_.wait(lock, [&] { return stopped_ || call_result->value || call_result->error; });
+    if (call_result->error) std::rethrow_exception(call_result->error);
+    if (!call_result->value) throw management::FrontStopping();
+    return std::move(*call_result->value);
   }
   asio::io_context &io_;
   Edge &edge_;
   std::mutex mutex_;
-  std::condition_variable wake_;
-  bool shut_ = false;
+  std::condition_variable state_changed_;
+  bool stopped_ = false;
 };
 
-class Managed final : public Beside {
+// The store, the manager of configurations and the gNMI service of one front end.
+class EmbeddedManagement final : public ManagementInterface {
  public:
-  Managed(const FrontConfig &record, const std::string &version)
-      : terms_(record.management), store_(record.management.store, record.management.max_history),
-        manager_(model_, store_, record.management.max_history, version) {}
-  ~Managed() override { detach(); }
+  EmbeddedManagement(const FrontConfig &config, const std::string &version)
+      : settings_(config.management), store_(config.management.store, config.management.max_history),
+        manager_(model_, store_, config.management.max_history, version) {}
+  ~EmbeddedManagement() override { detach(); }
 
-  FrontConfig start(const FrontConfig &record) override { return manager_.start(record); }
+  FrontConfig start(const FrontConfig &config) override { return manager_.start(config); }
 
   int attach(asio::io_context &io, Edge &edge, telemetry::Log &log) override {
-    io_ = &io, log_ = &log;
-    port_ = std::make_unique<PortOnExecutor>(io, edge);
-    manager_.attach(port_.get());
-    service_ = std::make_unique<management::Service>(manager_, terms_);
+    io_ = &io;
+    log_ = &log;
+    front_control_ = std::make_unique<ExecutorFrontControl>(io, edge);
+    manager_.attach(front_control_.get());
+    service_ = std::make_unique<management::Service>(manager_, settings_);
     return service_->port();
   }
 
-  void take_files(const FrontConfig &next) override {
-    if (reading_.joinable()) reading_.join();
-    reading_ = std::thread([this, next] {
-      management::ChangeResult answer = manager_.apply_files(next, "SIGHUP");
-      asio::post(*io_, [log = log_, answer] {
-        if (answer.error == management::ChangeError::none)
-          log->info("reloaded", {{"revision", answer.revision}});
+  void apply_files(const FrontConfig &next) override {
+    if (reload_thread_.joinable()) reload_thread_.join();
+    reload_thread_ = std::thread([this, next] {
+      management::ChangeResult result = manager_.apply_files(next, "SIGHUP");
+      asio::post(*io_, [log = log_, result] {
+        if (result.error == management::ChangeError::none)
+          log->info("reloaded", {{"revision", result.revision}});
         else
-          log->error("reload_refused", {{"cause", answer.message}}); // whole: what was in force stays so
+          // Nothing of the files was applied; the previous configuration stays in force.
+          log->error("reload_refused", {{"cause", result.message}});
       });
     });
   }
 
   void detach() override {
-    if (port_) port_->shut();
-    if (reading_.joinable()) reading_.join();
+    if (front_control_) front_control_->stop();
+    if (reload_thread_.joinable()) reload_thread_.join();
     service_.reset();
     manager_.attach(nullptr);
-    port_.reset();
+    front_control_.reset();
   }
 
  private:
-  site::ManagementSettings terms_;
+  site::ManagementSettings settings_;
   model::Model model_;
   store::Store store_;
   ConfigManager manager_;
   asio::io_context *io_ = nullptr;
   telemetry::Log *log_ = nullptr;
-  std::unique_ptr<PortOnExecutor> port_;
+  std::unique_ptr<ExecutorFrontControl> front_control_;
   std::unique_ptr<management::Service> service_;
-  std::thread reading_; // of the files on SIGHUP: it waits for the executor, so it cannot be on it
+  // Applies the files on SIGHUP. It waits for calls on the executor, so it cannot run there.
+  std::thread reload_thread_;
 };
 
 } // namespace
 
-std::unique_ptr<Beside> make_beside(const FrontConfig &record, const std::string &version) {
-  if (record.management.listen.empty()) return nullptr;
-  return std::make_unique<Managed>(record, version);
+std::unique_ptr<ManagementInterface> make_management(const FrontConfig &config, const std::string &version) {
+  if (config.management.listen.empty()) return nullptr;
+  return std::make_unique<EmbeddedManagement>(config, version);
 }
 
 } // namespace snowshore::program
--- a/src/program/run.cpp
+++ b/src/program/run.cpp
@@ -1,3 +1,4 @@
+// Starts the parts of a front end's process in order and runs them until it is drained.
 #include "program/run.h"
 #include "edge/serve.h"
 #include "program/beside.h"
@@ -11,50 +12,50 @@
 using edge::Edge;
 using site::FrontConfig;
 
-// For whoever waits for the ports.
-void write_ports(const std::string &file, const Edge &edge, int management) {
+// Writes the bound ports to the file for programs that wait for them; does nothing without a file name.
+void write_ports(const std::string &file, const Edge &edge, int management_port) {
   if (file.empty()) return;
-  records::replace_file(file, "{\"players\": " + std::to_string(edge.players().port()) +
-                                  ", \"operators\": " + std::to_string(edge.operators().port()) +
-                                  ", \"management\": " + std::to_string(management) + "}\n");
+  records::replace_file(file, "{\"players\": " + std::to_string(edge.player_endpoint().port()) +
+                                  ", \"operators\": " + std::to_string(edge.operator_endpoint().port()) +
+                                  ", \"management\": " + std::to_string(management_port) + "}\n");
 }
 
 } // namespace
 
 int run_edge(const std::vector<std::string> &files, const std::string &version,
-             edge::DecisionEngineFactory make) {
+             edge::DecisionEngineFactory engine_factory) {
   try {
     asio::io_context io(1);
-    asio::signal_set signals = edge::keep_signals(io);
-    FrontConfig record = site::load_front_config(files);
-    std::unique_ptr<Beside> beside = make_beside(record, version);
-    if (beside) record = beside->start(record);
-    telemetry::Log log(record.log_target, telemetry::parse_log_level(record.log_level));
-    auto source = edge::watch_files(io, record.list_file, record.catalogue_file);
-    if (source->is_polling())
-      log.warning("list_polled", {{"cause", "the system has no file watch left to give"}});
-    std::string ports = record.ports_file;
-    Edge edge(io, record, log, std::move(source), std::move(make));
-    struct AtEnd {
-      Beside *beside;
-      ~AtEnd() {
-        if (beside) beside->detach();
+    asio::signal_set signals = edge::register_signals(io);
+    FrontConfig config = site::load_front_config(files);
+    std::unique_ptr<ManagementInterface> management = make_management(config, version);
+    if (management) config = management->start(config);
+    telemetry::Log log(config.log_target, telemetry::parse_log_level(config.log_level));
+    auto list_source = edge::watch_files(io, config.list_file, config.catalogue_file);
+    if (list_source->is_polling())
+      log.warning("list_polled", {{"cause", "no inotify instance or watch is left; polling the files"}});
+    std::string ports_file = config.ports_file;
+    Edge edge(io, config, log, std::move(list_source), std::move(engine_factory));
+    struct DetachAtEnd {
+      ManagementInterface *management;
+      ~DetachAtEnd() {
+        if (management) management->detach();
       }
-    } at_end{beside.get()};
-    int management_port = beside ? beside->attach(io, edge, log) : 0;
-    edge.on_changed = [&] { write_ports(ports, edge, management_port); };
-    write_ports(ports, edge, management_port);
-    log.info("serving", {{"players", edge.players().port()},
-                         {"operators", edge.operators().port()},
+    } detach_at_end{management.get()};
+    int management_port = management ? management->attach(io, edge, log) : 0;
+    edge.on_config_changed = [&] { write_ports(ports_file, edge, management_port); };
+    write_ports(ports_file, edge, management_port);
+    log.info("serving", {{"players", edge.player_endpoint().port()},
+                         {"operators", edge.operator_endpoint().port()},
                          {"management", management_port}});
 
     bool draining = false;
-    auto read_again = [&] {
-      if (draining) throw std::runtime_error("the front drains");
-      if (beside) return beside->take_files(site::load_front_config(files));
+    auto reload = [&] {
+      if (draining) throw std::runtime_error("the front is draining");
+      if (management) return management->apply_files(site::load_front_config(files));
       log.info("reloaded", {{"needs_restart", edge.reload(site::load_front_config(files))}});
     };
-    edge::serve(io, signals, edge.clock(), log, {read_again, [&](std::function<void()> done) {
+    edge::serve(io, signals, edge.clock(), log, {reload, [&](std::function<void()> done) {
                                                    draining = true;
                                                    edge.drain(std::move(done));
                                                  }});
--- a/src/program/run.h
+++ b/src/program/run.h
@@ -1,4 +1,4 @@
-// The front's program: the edge, and where its record asks for it the management beside it, in one process.
+// The front end's process: the edge, and the management interface where the configuration has it on.
 #pragma once
 #include "edge/edge.h"
 
@@ -7,8 +7,9 @@
 
 namespace snowshore::program {
 
-// Reads the records, serves until SIGTERM, reads them again on SIGHUP. The process's exit code.
+// Reads the record files, serves until SIGTERM or SIGINT, and reads the files again on SIGHUP. Returns the
+// exit code of the process: 0 after a drain, 2 after an error, which is printed to standard error.
 int run_edge(const std::vector<std::string> &record_files, const std::string &version,
-             edge::DecisionEngineFactory make = make_decision_engine);
+             edge::DecisionEngineFactory engine_factory = make_decision_engine);
 
 } // namespace snowshore::program
--- a/src/program/unmanaged.cpp
+++ b/src/program/unmanaged.cpp
@@ -1,11 +1,12 @@
+// make_management() of builds without management.
 #include "program/beside.h"
 
 #include <stdexcept>
 
 namespace snowshore::program {
 
-std::unique_ptr<Beside> make_beside(const site::FrontConfig &record, const std::string &) {
-  if (!record.management.listen.empty())
+std::unique_ptr<ManagementInterface> make_management(const site::FrontConfig &config, const std::string &) {
+  if (!config.management.listen.empty())
     throw std::runtime_error("management.listen: this build has no management (SNOWSHORE_MANAGEMENT)");
   return nullptr;
 }
--- a/tests/edge/scene.h
+++ b/tests/edge/scene.h
@@ -1,4 +1,4 @@
-// A front in this process between raw players and scripted servers, all on real sockets.
+// A front end in the test's process, between raw players and scripted media servers, all on real sockets.
 #pragma once
 #include "edge/edge.h"
 #include "hints/hints.h"
@@ -8,78 +8,90 @@
 
 namespace snowshore::testing {
 
-struct HandList final : edge::ListSource { // the list as the test gives it
+// A list source whose events the test sends itself.
+struct ManualListSource final : edge::ListSource {
   Events events;
-  int asked = 0;
-  void start(Events e) override { events = std::move(e); }
-  void request_list() override { ++asked; }
+  int list_requests = 0;
+  void start(Events list_events) override { events = std::move(list_events); }
+  void request_list() override { ++list_requests; }
 };
 
+// A media server whose fields set how it answers, and which keeps the requests that it got.
 struct FakeServer {
-  struct Asked {
+  struct SetUpCall {
     serverwire::SetUpRequest set_up;
     std::shared_ptr<http::Exchange> exchange;
   };
-  std::vector<Asked> asked;
-  std::vector<std::string> ended, rungs;
-  std::vector<std::shared_ptr<http::Exchange>> streams;
-  std::vector<std::string> holds; // said in a hello
-  double started = 100;
-  bool mute = false, answers = true, follows = true;
+  std::vector<SetUpCall> set_up_calls;
+  std::vector<std::string> ended_plays, rung_changes;
+  std::vector<std::shared_ptr<http::Exchange>> report_streams;
+  // Sent in the hello of a report stream.
+  std::vector<std::string> held_plays;
+  double started_at = 100;
+  // is_silent: no request is answered.
+  bool is_silent = false, answers_set_ups = true, serves_reports = true;
   int probes = 0;
   std::unique_ptr<http::Server> server;
-  http::Endpoint at;
+  http::Endpoint endpoint;
 
-  explicit FakeServer(asio::io_context &io, http::Endpoint where = loopback()) {
+  explicit FakeServer(asio::io_context &io, http::Endpoint listen_at = loopback()) {
     server = std::make_unique<http::Server>(
-        io, where, http::ServerLimits{},
+        io, listen_at, http::ServerLimits{},
         [this](const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
-          on(request, exchange);
+          handle(request, exchange);
         });
-    at = server->local_endpoint();
+    endpoint = server->local_endpoint();
   }
-  static http::Response says(int status, double link = 0.2) {
+  static http::Response make_response(int status, double link = 0.2) {
     hints::CmsdLoad load;
-    load.link_demand = link, load.uplink_demand = link;
+    load.link_demand = link;
+    load.uplink_demand = link;
     http::Response response;
     response.status = status;
     response.headers.add("CMSD-Dynamic", hints::write_cmsd("s", load));
     return response;
   }
-  void on(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
+  void handle(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
     auto play = serverwire::parse_play_path(request.path);
     if (request.method == "POST") {
-      asked.push_back({serverwire::parse_set_up(request), exchange});
-      if (!answers || mute) return;
-      holds.push_back(*play);
-      exchange->respond(says(201));
+      set_up_calls.push_back({serverwire::parse_set_up(request), exchange});
+      if (!answers_set_ups || is_silent) return;
+      held_plays.push_back(*play);
+      exchange->respond(make_response(201));
     } else if (request.method == "DELETE") {
-      ended.push_back(*play);
-      if (!mute) exchange->respond(says(204));
+      ended_plays.push_back(*play);
+      if (!is_silent) exchange->respond(make_response(204));
     } else if (request.method == "PUT") {
-      rungs.push_back(*play + " " + std::to_string(serverwire::integer_parameter(request, "rung")));
-      exchange->respond(says(204));
+      rung_changes.push_back(*play + " " + std::to_string(serverwire::integer_parameter(request, "rung")));
+      exchange->respond(make_response(204));
     } else if (request.path == "/load") {
       ++probes;
-      if (!mute) exchange->respond(says(200));
-    } else if (follows && !mute) {
+      if (!is_silent) exchange->respond(make_response(200));
+    } else if (serves_reports && !is_silent) {
       exchange->open_stream({});
       serverwire::Report hello;
-      hello.kind = serverwire::Report::Kind::hello, hello.started_at = started, hello.plays = holds;
+      hello.kind = serverwire::Report::Kind::hello;
+      hello.started_at = started_at;
+      hello.plays = held_plays;
       exchange->write(serverwire::write_report(hello));
-      streams.push_back(exchange);
+      report_streams.push_back(exchange);
     }
   }
-  void tell(const serverwire::Report &report) { streams.back()->write(serverwire::write_report(report)); }
-  void tell_end(const std::string &play, const char *reason) {
-    std::erase(holds, play);
+  void send_report(const serverwire::Report &report) {
+    report_streams.back()->write(serverwire::write_report(report));
+  }
+  void send_end(const std::string &play, const char *reason) {
+    std::erase(held_plays, play);
     serverwire::Report report;
-    report.kind = serverwire::Report::Kind::end, report.play = play, report.reason = reason;
-    tell(report);
+    report.kind = serverwire::Report::Kind::end;
+    report.play = play;
+    report.reason = reason;
+    send_report(report);
   }
 };
 
-inline const char *kRecord = R"(
+// The record of the front end under test, to which a test may add.
+inline const char *kConfig = R"(
 name: "f0"
 listen: {players: "127.0.0.1:0", operators: "127.0.0.1:0"}
 list: {file: "l", catalogue: "c"}
@@ -100,63 +112,68 @@
 struct EdgeScene {
   asio::io_context io;
   telemetry::Log log{"/dev/null"};
-  HandList *list;
+  ManualListSource *list;
   std::unique_ptr<edge::Edge> edge;
   std::vector<std::unique_ptr<FakeServer>> servers;
   std::vector<std::unique_ptr<RawClient>> players;
   std::uint64_t version = 0;
 
-  explicit EdgeScene(int count = 2, const std::string &more = "") {
-    records::Source files[] = {{"front.cue", kRecord}, {"more.cue", more}};
-    auto source = std::make_unique<HandList>();
+  explicit EdgeScene(int count = 2, const std::string &extra = "") {
+    records::Source files[] = {{"front.cue", kConfig}, {"more.cue", extra}};
+    auto source = std::make_unique<ManualListSource>();
     list = source.get();
     edge = std::make_unique<edge::Edge>(io, site::parse_front_config(files), log, std::move(source));
     for (int s = 0; s < count; ++s) servers.push_back(std::make_unique<FakeServer>(io));
     edge::Catalogue catalogue;
     for (const char *title : {"a", "b", "a\r\nSet-Cookie: x=1"}) catalogue[title] = {0, 2};
     list->events.catalogue(catalogue);
-    publish();
-    run_for(0.25); // past the warm-up: without plays handed over, a front holds servers to be cold
+    publish_list();
+    // Past the warm-up: a front end that starts without handed-over plays counts all servers as cold.
+    run_for(0.25);
   }
   ~EdgeScene() { edge.reset(); }
 
-  edge::ListedServer entry(int s) const {
-    edge::ListedServer one;
-    one.id = "s" + std::to_string(s), one.kind = "k", one.address = servers[static_cast<std::size_t>(s)]->at;
-    one.cell = s % 2;
-    return one;
+  edge::ListedServer list_entry(int s) const {
+    edge::ListedServer server;
+    server.id = "s" + std::to_string(s);
+    server.kind = "k";
+    server.address = servers[static_cast<std::size_t>(s)]->endpoint;
+    server.cell = s % 2;
+    return server;
   }
-  void publish(std::vector<ServerStatus> standings = {}) {
-    edge::ServerList out;
-    out.version = ++version;
+  void publish_list(std::vector<ServerStatus> statuses = {}) {
+    edge::ServerList server_list;
+    server_list.version = ++version;
     for (int s = 0; s < static_cast<int>(servers.size()); ++s) {
-      out.servers.push_back(entry(s));
-      if (static_cast<std::size_t>(s) < standings.size())
-        out.servers.back().status = standings[static_cast<std::size_t>(s)];
+      server_list.servers.push_back(list_entry(s));
+      if (static_cast<std::size_t>(s) < statuses.size())
+        server_list.servers.back().status = statuses[static_cast<std::size_t>(s)];
     }
     edge->clock().invalidate();
-    list->events.list(out);
+    list->events.list(server_list);
   }
-  bool until(const std::function<bool()> &holds, double seconds = 4) {
+  // Runs the front end until the condition holds or the time is over; returns whether it holds.
+  bool run_until_met(const std::function<bool()> &condition, double seconds = 4) {
     auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
-    while (!holds() && std::chrono::steady_clock::now() < end) {
+    while (!condition() && std::chrono::steady_clock::now() < end) {
       io.restart();
       edge->clock().invalidate();
       io.run_one_for(std::chrono::milliseconds(2));
     }
-    return holds();
+    return condition();
   }
   void run_for(double seconds) {
-    until([] { return false; }, seconds);
+    run_until_met([] { return false; }, seconds);
   }
-  RawClient &ask(const std::string &target = "/play/a", const std::string &more = "") {
-    players.push_back(std::make_unique<RawClient>(io, edge->players()));
-    players.back()->send("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + more + "\r\n");
+  RawClient &request_play(const std::string &target = "/play/a", const std::string &extra = "") {
+    players.push_back(std::make_unique<RawClient>(io, edge->player_endpoint()));
+    players.back()->send("GET " + target + " HTTP/1.1\r\nHost: f\r\n" + extra + "\r\n");
     return *players.back();
   }
   static int status(const RawClient &peer) {
     return peer.received.size() > 12 ? std::stoi(peer.received.substr(9, 3)) : 0;
   }
+  // The sum of all metrics whose names begin like this.
   double metric(const std::string &name) {
     std::string text = edge->metrics_text();
     double sum = 0;
@@ -166,17 +183,18 @@
     }
     return sum;
   }
-  double open() { return metric("snowshore_plays_open"); }
-  FakeServer &server_asked(std::size_t times = 1) { // the one that was asked last so far
+  double open_plays() { return metric("snowshore_plays_open"); }
+  // The first server that got at least this many set-ups.
+  FakeServer &server_with_set_ups(std::size_t times = 1) {
     for (auto &server : servers) {
-      if (server->asked.size() >= times) return *server;
+      if (server->set_up_calls.size() >= times) return *server;
     }
-    throw std::runtime_error("no server was asked");
+    throw std::runtime_error("no server got a set-up");
   }
-  std::size_t set_ups() const {
-    std::size_t n = 0;
-    for (auto &server : servers) n += server->asked.size();
-    return n;
+  std::size_t set_up_count() const {
+    std::size_t count = 0;
+    for (auto &server : servers) count += server->set_up_calls.size();
+    return count;
   }
 };
 
