--- a/src/decision/connection_budget.h
+++ b/src/decision/connection_budget.h
@@ -30,16 +30,17 @@
 };
 
 // Returns the server whose connection is to be closed, or nothing where none may be.
-inline std::optional<int> connection_to_close(std::span<const ServerConnections> uses, double now) {
-  auto rank = [](const ServerConnections &one) {
-    return one.sessions == 0 ? 0 : one.connections > 1 ? 1 : 2;
+inline std::optional<int> connection_to_close(std::span<const ServerConnections> connections_by_server,
+                                              double now) {
+  auto rank = [](const ServerConnections &candidate) {
+    return candidate.sessions == 0 ? 0 : candidate.connections > 1 ? 1 : 2;
   };
   const ServerConnections *best = nullptr;
-  for (const ServerConnections &one : uses) {
-    if (rank(one) == 2 && now - one.open_since < ConnectionBudget::kMinVisitTime) continue;
-    bool better =
-        !best || rank(one) < rank(*best) || (rank(one) == rank(*best) && one.open_since < best->open_since);
-    if (better) best = &one;
+  for (const ServerConnections &candidate : connections_by_server) {
+    if (rank(candidate) == 2 && now - candidate.open_since < ConnectionBudget::kMinVisitTime) continue;
+    bool better = !best || rank(candidate) < rank(*best) ||
+                  (rank(candidate) == rank(*best) && candidate.open_since < best->open_since);
+    if (better) best = &candidate;
   }
   return best ? std::optional(best->server) : std::nullopt;
 }
--- a/src/decision/id_table.h
+++ b/src/decision/id_table.h
@@ -51,11 +51,11 @@
   std::size_t size() const { return table_.size(); }
   // Records that `holder` refers to the id with this index. A holder refers to one id at a time.
   void add_holder(int holder, int index) {
-    auto place = static_cast<std::size_t>(holder), held = static_cast<std::size_t>(index);
-    if (place >= index_by_holder_.size()) index_by_holder_.resize(place + 1);
-    if (held >= holder_counts_.size()) holder_counts_.resize(held + 1);
-    index_by_holder_[place] = index;
-    ++holder_counts_[held];
+    auto holder_slot = static_cast<std::size_t>(holder), index_slot = static_cast<std::size_t>(index);
+    if (holder_slot >= index_by_holder_.size()) index_by_holder_.resize(holder_slot + 1);
+    if (index_slot >= holder_counts_.size()) holder_counts_.resize(index_slot + 1);
+    index_by_holder_[holder_slot] = index;
+    ++holder_counts_[index_slot];
   }
   // Ends the reference of `holder`, which must have one.
   void release_holder(int holder) {
--- a/src/decision/policy.cpp
+++ b/src/decision/policy.cpp
@@ -1,6 +1,7 @@
-// Every decision of a front: which server a play is set up on, at which rung, or that it is declined.
-// Called through policy.h: clock() first, then one call for each thing that happened; answers go out through
-// Answers during the call. place() is the ordinary path of a play, top to bottom; the rest feeds it.
+// The decision engine: chooses the server and the rung of each play, or declines it, and steps running plays
+// up and down. Each call first records its event and then sends decisions through DecisionHandler before it
+// returns. place_play() is the path of an ordinary play; the other functions maintain what it reads. "Own"
+// plays, demands and set-ups are those of this front end; other front ends use the same servers.
 #include "decision/policy.h"
 #include "decision/given_reader.h"
 #include "decision/overrun_bound.h"
@@ -20,954 +21,1192 @@
 
 namespace {
 
-// ---- Values that are ours to tune; everything else comes from the settings or is observed.
-constexpr double kTolerance = 0.2;  // of a link's overrunning; design.md says why not the paper's one percent
-constexpr double kVariation = 0.25; // variation coefficient of a play's rate
-constexpr double kThrift = 1.2;     // how much tighter the test is for a rung that earns less for its rate
-constexpr double kNewsLife = 10;    // a told use older than this no longer counts
-constexpr double kReportAge = 0.4;  // how far behind a load report is held to be
-constexpr double kFirstAvoid = 1;   // after one failure a server is left alone so long, doubling
-constexpr double kLongestAvoid = 8; // up to this
-constexpr double kColdSafety = 0.9; // part of a cold server's budget that fronts use
-constexpr double kSetUpGuess = 0.15; // usual set-up time before any was seen
-constexpr double kLeastSetUp = 0.1;  // no allocation starts with less time left than this
-constexpr double kReviewEvery = 0.5; // plays under way are looked at so often
-constexpr double kFreshNews = 5;     // and only where the news of a link is no older than this
-constexpr double kShortFrom = 1.1;   // demand over capacity from which plays are stepped down
-constexpr double kStepRest = 5;      // a play is left at its rung so long after a step
-constexpr double kShortFades = 8;    // the memory of a short link fades over so long
-constexpr double kRaise = 2;         // how much tighter the test is for a step up
-constexpr double kShortHolds = 1.5;  // a note of short delivery holds so long, whatever reports say
-constexpr double kOvershoot = 4;     // a short link costs more than one with room: the odds of a step down
-constexpr int kRaises = 3;           // steps up at most for one piece of news
-constexpr double kLeastPart = 0.06;  // a lesser part of all plays does not step up
-constexpr double kWarmProof = 0.3;   // of a link asked by others: a server that carries so much is warm
-constexpr std::ptrdiff_t kAsked = 2; // holders asked before a play is placed
-constexpr double kAskWait = 0.02;    // and so long waited for
-constexpr double kStepProbe = 20;    // between probes of one server to step plays up there
-constexpr double kProbeRest = 3;     // between probes of one server
-constexpr double kUnknownUse = 0.6;  // of a link, before anything tells of any; weighs as one heard of
-constexpr double kPlaysALink = 4;    // own plays that tell as much of the usual use as one link heard of
-constexpr double kGuessShape = 20;   // Gamma shape of others' guessed demand, and one more a play of ours
-constexpr double kFewPlays = 6;      // own plays on a link that tell as much of others' as the mean does
-constexpr double kRushOver = 2;      // a rush of requests over so long,
-constexpr double kUsualOver = 20;    // against what is usual over so long
-constexpr double kForgetAfter = 30;  // a server that left and holds none of our plays is forgotten
-constexpr std::size_t kChangesKept = 64;
-
-enum class PlayState { vacant, asked, allocating, playing, ending };
+// Tuning constants. Times are seconds, and a demand is a rate divided by the capacity of its link. All other
+// values come from the settings or are observed.
+
+// Admission test: the highest accepted bound on the probability that a link is overrun. design.md gives the
+// reason for not using the one percent of the paper.
+constexpr double kOverrunTolerance = 0.2;
+// Coefficient of variation of a play's rate.
+constexpr double kRateVariation = 0.25;
+// Exponent that makes the test stricter for a rung that gains less importance for its rate.
+constexpr double kStrictnessExponent = 1.2;
+
+// Age up to which a reported demand is used.
+constexpr double kReportLifetime = 10;
+// Assumed time between the measurement of a load report and its arrival.
+constexpr double kReportDelay = 0.4;
+// Age up to which a report is a basis for stepping running plays.
+constexpr double kFreshReportAge = 5;
+
+// Time for which a server is avoided after one failure; it doubles with each further failure.
+constexpr double kMinAvoidTime = 1;
+constexpr double kMaxAvoidTime = 8;
+// Share of a cold server's budget of set-ups that the front ends use.
+constexpr double kColdBudgetShare = 0.9;
+// Mean set-up time before any set-up is observed.
+constexpr double kInitialSetUpTime = 0.15;
+// Weight of a new observation in the mean set-up time.
+constexpr double kSetUpTimeGain = 0.1;
+// No allocation starts with less time left before the play's deadline.
+constexpr double kMinTimeLeft = 0.1;
+
+// Interval between reviews of the running plays.
+constexpr double kReviewInterval = 0.5;
+// Demand on a link from which plays are stepped down.
+constexpr double kStepDownThreshold = 1.1;
+// Time for which a play keeps its rung after a step.
+constexpr double kStepCooldown = 5;
+// Time constant with which a remembered shortage of a link decays.
+constexpr double kShortageDecayTime = 8;
+// Factor by which the test is stricter for a step up.
+constexpr double kStepUpStrictness = 2;
+// Feedback that arrives within this time after the start of a play describes the set-up, without delay.
+constexpr double kSetUpFeedbackTime = 0.05;
+// A delivered share below this means that the link is overrun; it is taken for at least kMinDeliveredShare.
+constexpr double kFullDeliveredShare = 0.98;
+constexpr double kMinDeliveredShare = 0.05;
+// A reported link share from this on may stand for any higher demand, since servers report at most 1.
+constexpr double kFullLinkShare = 0.99;
+// Time for which feedback on a shortage holds, whatever load reports say.
+constexpr double kShortageHoldTime = 1.5;
+// Factor on the probability of a step down that removes more than the excess; an overrun link costs more than
+// one with room left.
+constexpr double kStepDownOdds = 4;
+// Highest number of steps up on a server for one report.
+constexpr int kMaxStepsUp = 3;
+// Plays step up only where the test passes for a joint step of more than this share of all plays on the link.
+constexpr double kMinStepUpShare = 0.06;
+// A server is taken for warm where plays of other front ends demand more than this.
+constexpr double kWarmDemand = 0.3;
+
+// Number of candidate servers that are probed before a play is placed, and the time for which it then waits.
+constexpr std::ptrdiff_t kPlacementProbes = 2;
+constexpr double kPlacementProbeWait = 0.02;
+// Interval between probes of one server that look for room to step up.
+constexpr double kStepUpProbeInterval = 20;
+// Interval between probes of one server for any reason.
+constexpr double kMinProbeInterval = 3;
+
+// Demand that is assumed before any report; it has the weight of one report in the mean.
+constexpr double kPriorDemand = 0.6;
+// Number of own plays whose evidence on the mean demand has the weight of one report.
+constexpr double kPlaysPerReport = 4;
+// Gamma shape parameter of the estimated demand of other front ends; each own play on the link adds one.
+constexpr double kEstimateShape = 20;
+// Number of own plays on a link whose evidence on others' demand has the weight of the mean over all links.
+constexpr double kExpectedPlaysWeight = 6;
+// Time constants of the two mean request rates that are compared to detect a surge of requests.
+constexpr double kRecentRateTime = 2;
+constexpr double kUsualRateTime = 20;
+
+// Time after which a server that is not listed and holds no own plays is forgotten.
+constexpr double kForgetDelay = 30;
+// Number of changes that are kept for one link.
+constexpr std::size_t kMaxChanges = 64;
+
+// pending: waits for placement; abandoned: the viewer left and the allocation has not ended yet. The order
+// matters to is_on_server().
+enum class PlayState { unused, pending, allocating, playing, abandoned };
 
 struct Play {
-  PlayState state = PlayState::vacant;
-  PlayRequest terms;
+  PlayState state = PlayState::unused;
+  PlayRequest request;
   int server = -1;
   int rung = 0;
+  // Number of allocations so far.
   int allocations = 0;
-  double target_at = 0, limit_at = 0, started = -1e9, stepped_at = -1e9;
+  // No allocation of the play is started at or after first_frame_deadline; none may last beyond deadline.
+  double first_frame_deadline = 0, deadline = 0, started_at = -1e9, stepped_at = -1e9;
+  // An ended allocation of the play may have run on its server.
   bool may_have_run = false;
-  std::size_t place = 0;      // in its server's plays
-  std::array<int, 8> tried{}; // servers already allocated to
+  // Position in Server::plays.
+  std::size_t index_at_server = 0;
+  // The servers of earlier allocations.
+  std::array<int, 8> tried_servers{};
 };
 
-struct Change { // a play of ours set up, ended or stepped on a link
-  double at;
+// A change of the number of own plays on a link by a set-up, an end or a step.
+struct PlayCountChange {
+  double time;
+  // Product and rung, see group_of().
   int group;
+  // Positive where plays were added.
   int plays;
 };
 
-struct Link {                           // a server's link or a rack's uplink
-  double given = 0;                     // its capacity, before places are shared out; see capacity()
-  double places = 0;                    // of a server's, none of an uplink
-  double told = 0;                      // asked over given, when last told
-  double told_at = -1e9;                // the moment the told use is of
-  double short_of = 0, short_at = -1e9; // the last told use over one, and when
-  double lowered_at = -1e9;             // plays of ours stepped down for it
-  std::vector<int> own;                 // this front's plays, by product and rung
-  std::vector<Change> changes;          // ours since told_at
+// The link of a server or the uplink of a rack.
+struct Link {
+  // Capacity in kB per second before it is scaled by play_capacity, see capacity(); 0 where it is unknown.
+  double nominal_capacity = 0;
+  // Plays that the server has room for; 0 for uplinks.
+  double play_capacity = 0;
+  // The last reported demand over nominal capacity, and the time at which it was measured.
+  double reported_demand = 0;
+  double reported_at = -1e9;
+  // The last demand above 1 that was reported or follows from feedback, and its time.
+  double shortage_demand = 0, shortage_at = -1e9;
+  // Time of the last step down of own plays because of this link.
+  double stepped_down_at = -1e9;
+  // Number of own plays by group.
+  std::vector<int> own_plays;
+  // Changes of own_plays since reported_at.
+  std::vector<PlayCountChange> changes;
 };
 
-struct Usual { // what was told of links, or of uplinks, lately
-  double use = 0, weight = 0, at = 0;
+// Exponentially weighted mean of the demands that were reported lately for all links of one sort.
+struct MeanDemand {
+  double demand = 0, weight = 0, updated_at = 0;
 };
 
-struct Pace { // how many a second, as a mean that fades
-  double over, mean = 0, at = 0;
-  double seen(double now) const { return mean * std::exp((at - now) / over); }
-  void count(double now) { mean = seen(now) + 1 / over, at = now; }
+// Rate of events per second, as a mean that decays exponentially.
+struct DecayingRate {
+  double time_constant, mean = 0, updated_at = 0;
+  double rate_at(double now) const { return mean * std::exp((updated_at - now) / time_constant); }
+  void add_event(double now) {
+    mean = rate_at(now) + 1 / time_constant;
+    updated_at = now;
+  }
 };
 
 struct Server {
   ServerEntry entry;
   bool listed = false, known = false, seen_warm = false;
-  bool counted_avoided = false; // it stands among those that may be avoided
+  // The server is an element of avoided_servers_.
+  bool in_avoided_list = false;
   Link link;
-  int rack = 0, out = 0;  // out: allocations without outcome or start
-  std::vector<int> plays; // ours there
+  // `unanswered` counts the allocations that have neither started nor ended.
+  int rack = 0, unanswered = 0;
+  // Own plays on the server.
+  std::vector<int> plays;
   double avoid_until = -1e9, cold_since = -1e9, last_sent = -1e9, answered_at = -1e9, probed_at = -1e9;
-  double raised_at = -2e9, listed_at = 0; // the news it last stepped up on; when it was last seen listed
-  int strikes = 0;
+  // The time of the report that plays last stepped up on, and the time at which the server was last listed.
+  double stepped_up_at = -2e9, last_listed_at = 0;
+  // Failures since the last success.
+  int consecutive_failures = 0;
 };
 
-std::uint64_t mix(std::uint64_t x) { // splitmix64's finish: the hash that fronts share
+// The finalizer of splitmix64. All front ends use the same hash.
+std::uint64_t mix_bits(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ x >> 27) * 0x94d049bb133111ebULL;
   return x ^ x >> 31;
 }
 
-class ChernoffFront final : public DecisionEngine {
+class ChernoffEngine final : public DecisionEngine {
  public:
-  ChernoffFront(const DecisionSettings &given, std::uint64_t seed, double now, DecisionHandler &answers)
-      : given_(given), answers_(answers), chance_(static_cast<std::uint32_t>(seed % 2147483646 + 1)),
-        now_(now), opened_(now) {
-    read_given();
-    groups_.reserve(kChangesKept + 2);
-    listed_in_.resize(at(cells_));
-    racks_.resize(static_cast<std::size_t>(std::max(1.0, SettingsReader(given_).number("racks", 1))));
-    for (Link &uplink : racks_) open_link(uplink);
-    open_uplinks();
-    if (SettingsReader(given_).text("list_mode") == "on_request") answers_.request_server_list();
-    answers_.set_timer(kReviewEvery, kReview);
+  ChernoffEngine(const DecisionSettings &settings, std::uint64_t seed, double now, DecisionHandler &handler)
+      : settings_(settings), handler_(handler), random_(static_cast<std::uint32_t>(seed % 2147483646 + 1)),
+        now_(now), created_at_(now) {
+    read_settings();
+    // gather_demand() adds up to one group for each change and two more.
+    rate_groups_.reserve(kMaxChanges + 2);
+    listed_by_cell_.resize(to_size(cell_count_));
+    uplinks_.resize(static_cast<std::size_t>(std::max(1.0, SettingsReader(settings_).number("racks", 1))));
+    for (Link &uplink : uplinks_) init_link(uplink);
+    update_uplink_capacities();
+    if (SettingsReader(settings_).text("list_mode") == "on_request") handler_.request_server_list();
+    handler_.set_timer(kReviewInterval, kReviewTimer);
   }
 
   void set_time(double now) override { now_ = now; }
 
   void server_list_updated(ListUpdateKind kind, std::span<const ServerEntry> entries) override {
-    if (kind ==
-        ListUpdateKind::unavailable) { // the list in hand stays in force; ask again, spread over fronts
-      answers_.set_timer(1 + chance(), kAskList);
+    // The current list stays in force. The random delay spreads the next requests of the front ends.
+    if (kind == ListUpdateKind::unavailable) {
+      handler_.set_timer(1 + random_fraction(), kRequestListTimer);
       return;
     }
     if (kind != ListUpdateKind::changes) {
-      work_.for_lists += servers_.size();
+      scan_counts_.for_lists += servers_.size();
       for (Server &server : servers_) {
         if (!server.listed) continue;
         set_listed(server, false);
-        server.listed_at = now_;
-        departed_.add(index_of(server));
+        server.last_listed_at = now_;
+        departed_servers_.add(index_of(server));
       }
     }
-    for (const ServerEntry &entry : entries) take_entry(entry);
-    share_places();
-  }
-
-  void play_requested(int index, const PlayRequest &terms) override {
-    Play &play = take(index, terms);
-    play.limit_at = std::min(now_ + terms.time_left.value_or(limits_[at(terms.product)]), closes_at_);
-    play.target_at = now_ + std::min(targets_[at(terms.product)], play.limit_at - now_);
-    retries_.request_accepted(now_);
-    for (Pace *pace : {&rush_, &usual_rush_}) pace->count(now_);
-    become(index, PlayState::asked);
-    if (ask_holders(index)) {
-      waiting_.push_back(index);
+    for (const ServerEntry &entry : entries) apply_entry(entry);
+    update_capacity_scale();
+  }
+
+  void play_requested(int index, const PlayRequest &request) override {
+    Play &play = init_play(index, request);
+    play.deadline =
+        std::min(now_ + request.time_left.value_or(time_limits_[to_size(request.product)]), shutdown_at_);
+    play.first_frame_deadline =
+        now_ + std::min(first_frame_targets_[to_size(request.product)], play.deadline - now_);
+    retry_budget_.request_accepted(now_);
+    for (DecayingRate *rate : {&recent_request_rate_, &usual_request_rate_}) rate->add_event(now_);
+    set_state(index, PlayState::pending);
+    if (probe_candidates(index)) {
+      awaiting_probes_.push_back(index);
     } else {
-      place(index);
+      place_play(index);
     }
   }
 
-  void play_handed_over(int index, int server, const PlayRequest &terms) override {
-    Play &play = take(index, terms);
-    if (server >= static_cast<int>(servers_.size())) servers_.resize(at(server) + 1);
-    if (!servers_[at(server)].known) open_link(servers_[at(server)].link);
+  void play_handed_over(int index, int server, const PlayRequest &request) override {
+    Play &play = init_play(index, request);
+    if (server >= static_cast<int>(servers_.size())) servers_.resize(to_size(server) + 1);
+    if (!servers_[to_size(server)].known) init_link(servers_[to_size(server)].link);
     play.server = server;
-    play.rung = lowest(terms.product);
+    play.rung = lowest_rung(request.product);
     play.allocations = 1;
-    handed_over_ = true;
-    become(index, PlayState::playing);
+    was_handed_plays_ = true;
+    set_state(index, PlayState::playing);
   }
 
   void play_started(int index, int allocation, double delay) override {
-    Play &play = plays_[at(index)];
+    Play &play = plays_[to_size(index)];
     if (play.state != PlayState::allocating || allocation != play.allocations - 1) return;
-    usual_set_up_ += 0.1 * (delay - usual_set_up_);
-    play.started = now_;
-    Server &server = servers_[at(play.server)];
-    server.strikes = 0;
+    mean_set_up_time_ += kSetUpTimeGain * (delay - mean_set_up_time_);
+    play.started_at = now_;
+    Server &server = servers_[to_size(play.server)];
+    server.consecutive_failures = 0;
     server.avoid_until = now_;
-    see_answer(server);
-    become(index, PlayState::playing);
+    record_answer(server);
+    set_state(index, PlayState::playing);
   }
 
   void allocation_ended(int index, int allocation, Outcome outcome, bool concluded,
                         const LoadReport &report) override {
-    Play &play = plays_[at(index)];
-    if (allocation != play.allocations - 1 || play.state == PlayState::vacant ||
-        play.state == PlayState::asked)
+    Play &play = plays_[to_size(index)];
+    if (allocation != play.allocations - 1 || play.state == PlayState::unused ||
+        play.state == PlayState::pending)
       return;
     PlayState before = play.state;
-    judge(play, outcome);
-    read_report(play.server, report, now_ - kReportAge);
-    if (concluded || before != PlayState::allocating) return finish(index);
+    record_outcome(play, outcome);
+    apply_report(play.server, report, now_ - kReportDelay);
+    if (concluded || before != PlayState::allocating) return release_play(index);
+    // With these outcomes the server did not take the allocation; with any other one it may have run.
     if (outcome != Outcome::busy && outcome != Outcome::unreachable && outcome != Outcome::skipped)
       play.may_have_run = true;
-    become(index, PlayState::asked);
-    place(index);
+    set_state(index, PlayState::pending);
+    place_play(index);
   }
 
   void feedback_received(int index, FeedbackKind kind, double value) override {
-    Play &play = plays_[at(index)];
-    if (play.state == PlayState::vacant || play.server < 0) return;
-    Server &server = servers_[at(play.server)];
-    bool at_set_up =
-        play.state == PlayState::allocating || now_ - play.started < 0.05; // of now, not of a while ago
-    double as_of = at_set_up ? now_ : now_ - note_delay_;
+    Play &play = plays_[to_size(index)];
+    if (play.state == PlayState::unused || play.server < 0) return;
+    Server &server = servers_[to_size(play.server)];
+    // Feedback at the set-up describes the present; later feedback is feedback_delay_ old.
+    bool at_set_up = play.state == PlayState::allocating || now_ - play.started_at < kSetUpFeedbackTime;
+    double measured_at = at_set_up ? now_ : now_ - feedback_delay_;
     if (kind == FeedbackKind::rung) {
-      step_to(index, static_cast<int>(value));
+      change_rung(index, static_cast<int>(value));
     } else if (kind == FeedbackKind::link_demand) {
-      hear(server.link, value, as_of);
-      see_warm(server, value);
+      record_demand(server.link, value, measured_at);
+      detect_warm(server, value);
     } else if (kind == FeedbackKind::uplink_demand) {
-      hear(racks_[at(server.rack)], value, as_of);
-    } else if (value < 0.98) { // short of something: the link is at least so much overrun
-      server.link.short_of = 1 / std::max(value, 0.05);
-      server.link.short_at = now_;
+      record_demand(uplinks_[to_size(server.rack)], value, measured_at);
+    } else if (value < kFullDeliveredShare) {
+      // A share below 1 is delivered where the link is overrun by at least the reciprocal.
+      server.link.shortage_demand = 1 / std::max(value, kMinDeliveredShare);
+      server.link.shortage_at = now_;
     }
   }
 
   void viewer_left(int index) override {
-    Play &play = plays_[at(index)];
-    if (play.state == PlayState::vacant) return;
-    if (play.state == PlayState::asked) return finish(index);
-    if (play.state == PlayState::allocating) become(index, PlayState::ending);
+    Play &play = plays_[to_size(index)];
+    if (play.state == PlayState::unused) return;
+    if (play.state == PlayState::pending) return release_play(index);
+    if (play.state == PlayState::allocating) set_state(index, PlayState::abandoned);
   }
 
   void probe_answered(int server, Outcome outcome, const LoadReport &report) override {
-    if (outcome == Outcome::done) return read_report(server, report, now_ - kReportAge);
-    if (outcome != Outcome::busy) strike(servers_[at(server)]); // a server turns probes away over its cap
+    if (outcome == Outcome::done) return apply_report(server, report, now_ - kReportDelay);
+    // Busy is not a failure: servers refuse probes above a limit.
+    if (outcome != Outcome::busy) record_failure(servers_[to_size(server)]);
   }
 
-  void settings_changed(const DecisionSettings &given) override {
-    given_ = given;
-    read_given();
-    open_uplinks();
-    for (Server &server : servers_) { // at the values of now
+  void settings_changed(const DecisionSettings &settings) override {
+    settings_ = settings;
+    read_settings();
+    update_uplink_capacities();
+    // Recomputes the sums over listed servers with the new settings.
+    for (Server &server : servers_) {
       if (!server.known) continue;
       bool listed = server.listed;
       set_listed(server, false);
-      measure(server);
+      update_capacity(server);
       set_listed(server, listed);
     }
-    share_places();
-    own_in_all_ = 0; // at the rates of now
+    update_capacity_scale();
+    // Recomputes the own demand with the new rates.
+    own_demand_ = 0;
     for (const Server &server : servers_) {
-      for (std::size_t g = 0; g < server.link.own.size(); ++g)
-        own_in_all_ += server.link.own[g] * group_rate(static_cast<int>(g));
+      for (std::size_t g = 0; g < server.link.own_plays.size(); ++g)
+        own_demand_ += server.link.own_plays[g] * group_rate(static_cast<int>(g));
     }
   }
 
   void set_shutdown_time(double moment) override {
-    closes_at_ = moment;
+    shutdown_at_ = moment;
     for (Play &play : plays_) {
-      play.limit_at = std::min(play.limit_at, moment);
-      play.target_at = std::min(play.target_at, moment);
+      play.deadline = std::min(play.deadline, moment);
+      play.first_frame_deadline = std::min(play.first_frame_deadline, moment);
     }
   }
 
   ServerView server_view(int index) const override {
-    if (index < 0 || at(index) >= servers_.size()) return {};
-    const Server &server = servers_[at(index)];
-    const Link &uplink = racks_[at(server.rack)];
-    auto age = [&](const Link &link) { return link.told_at < 0 ? -1 : now_ - link.told_at; };
-    return {server.strikes,
-            static_cast<int>(server.plays.size()),
-            now_ < server.avoid_until,
-            may_be_cold(server),
-            server.link.told,
-            age(server.link),
-            uplink.told,
-            age(uplink)};
-  }
-
-  ServerScanCounts server_scan_counts() const override { return work_; }
+    if (index < 0 || to_size(index) >= servers_.size()) return {};
+    const Server &server = servers_[to_size(index)];
+    const Link &uplink = uplinks_[to_size(server.rack)];
+    auto age = [&](const Link &link) { return link.reported_at < 0 ? -1 : now_ - link.reported_at; };
+    return {server.consecutive_failures, static_cast<int>(server.plays.size()),
+            now_ < server.avoid_until,   may_be_cold(server),
+            server.link.reported_demand, age(server.link),
+            uplink.reported_demand,      age(uplink)};
+  }
+
+  ServerScanCounts server_scan_counts() const override { return scan_counts_; }
 
   void timer_expired(int label) override {
-    if (label == kAskList) answers_.request_server_list();
-    if (label == kPlace) {
-      placing_.swap(waiting_);
-      std::sort(placing_.begin(), placing_.end());
-      for (int p : placing_) {
-        if (plays_[at(p)].state == PlayState::asked) place(p);
+    if (label == kRequestListTimer) handler_.request_server_list();
+    if (label == kPlacementTimer) {
+      plays_to_place_.swap(awaiting_probes_);
+      std::sort(plays_to_place_.begin(), plays_to_place_.end());
+      for (int p : plays_to_place_) {
+        if (plays_[to_size(p)].state == PlayState::pending) place_play(p);
       }
-      placing_.clear();
+      plays_to_place_.clear();
     }
-    if (label == kReview) review();
+    if (label == kReviewTimer) review();
   }
 
  private:
-  enum Label { kAskList = 1, kReview, kPlace };
-
-  void read_given() {
-    SettingsReader given(given_);
-    rates_ = given.list("rung_rates");
-    rung_worth_ = given.list("rung_importance");
-    factors_ = given.list("product_rate_factors");
-    floors_ = given.list("product_floors");
-    tops_ = given.list("product_tops");
-    seats_ = given.list("product_seats");
-    kind_places_ = given.list("kind_places");
-    fronts_ = std::max(1.0, given.number("fronts", 1));
-    link_per_weight_ = given.number("link_per_weight", 0);
-    cells_ = std::max(1, static_cast<int>(given.number("cells", 1)));
-    warm_up_ = given.number("warm_up", 0);
-    may_probe_ = given.text("load_comes_with") != "none" && given.number("may_probe", 0) > 0;
-    note_delay_ = given.number("note_delay", 1);
-    allowed_ = static_cast<int>(given.number("allocations_per_play", 1));
-    longest_retry_after_ = given.number("longest_retry_after", 0);
-    slow_start_.fronts = fronts_, slow_start_.front_index = static_cast<int>(given.number("front_index", 0));
-    slow_start_.window = given.number("fall_span", 1);
-    slow_start_.set_up_budget =
-        given.number("fall_multiple", 1) * given.number("cold_share", 0) * slow_start_.window * kColdSafety;
+  enum TimerLabel { kRequestListTimer = 1, kReviewTimer, kPlacementTimer };
+
+  // Throws std::invalid_argument where the lists of rungs and products differ in length.
+  void read_settings() {
+    SettingsReader settings(settings_);
+    rung_rates_ = settings.list("rung_rates");
+    rung_importance_ = settings.list("rung_importance");
+    product_rate_factors_ = settings.list("product_rate_factors");
+    product_floors_ = settings.list("product_floors");
+    product_tops_ = settings.list("product_tops");
+    product_seats_ = settings.list("product_seats");
+    kind_capacities_ = settings.list("kind_places");
+    front_count_ = std::max(1.0, settings.number("fronts", 1));
+    link_per_weight_ = settings.number("link_per_weight", 0);
+    cell_count_ = std::max(1, static_cast<int>(settings.number("cells", 1)));
+    warm_up_ = settings.number("warm_up", 0);
+    may_probe_ = settings.text("load_comes_with") != "none" && settings.number("may_probe", 0) > 0;
+    feedback_delay_ = settings.number("note_delay", 1);
+    max_allocations_ = static_cast<int>(settings.number("allocations_per_play", 1));
+    longest_retry_after_ = settings.number("longest_retry_after", 0);
+    slow_start_.fronts = front_count_;
+    slow_start_.front_index = static_cast<int>(settings.number("front_index", 0));
+    slow_start_.window = settings.number("fall_span", 1);
+    slow_start_.set_up_budget = settings.number("fall_multiple", 1) * settings.number("cold_share", 0) *
+                                slow_start_.window * kColdBudgetShare;
     slow_start_.warm_up = warm_up_;
-    retries_.set_settings(
-        {given.number("further_span", 0), given.number("further_free", 0), given.number("further_share", 0)});
-    uplinks_told_ = given.text("load_fields").find("uplink") != std::string_view::npos;
-    products_ = static_cast<int>(given.number("products", 1));
-    targets_.clear(), limits_.clear(), importance_.clear(), safe_.clear(), earning_.clear(),
-        strictness_.clear();
-    for (int p = 0; p < products_; ++p) {
+    retry_budget_.set_settings({settings.number("further_span", 0), settings.number("further_free", 0),
+                                settings.number("further_share", 0)});
+    uplinks_reported_ = settings.text("load_fields").find("uplink") != std::string_view::npos;
+    product_count_ = static_cast<int>(settings.number("products", 1));
+    first_frame_targets_.clear();
+    time_limits_.clear();
+    product_importance_.clear();
+    is_repeatable_.clear();
+    importance_per_rate_.clear();
+    strictness_.clear();
+    for (int p = 0; p < product_count_; ++p) {
       std::string name = "product." + std::to_string(p) + ".";
-      targets_.push_back(given.number(name + "first_frame_target", 1));
-      limits_.push_back(given.number(name + "time_limit", 4));
-      importance_.push_back(given.number(name + "importance", 1));
-      safe_.push_back(given.text(name + "set_up") != "unsafe" && given.text(name + "set_up") != "keyed");
+      first_frame_targets_.push_back(settings.number(name + "first_frame_target", 1));
+      time_limits_.push_back(settings.number(name + "time_limit", 4));
+      product_importance_.push_back(settings.number(name + "importance", 1));
+      is_repeatable_.push_back(settings.text(name + "set_up") != "unsafe" &&
+                               settings.text(name + "set_up") != "keyed");
     }
-    if (rates_.empty() || rung_worth_.size() != rates_.size() || at(products_) != factors_.size() ||
-        factors_.size() != floors_.size() || factors_.size() != tops_.size())
+    if (rung_rates_.empty() || rung_importance_.size() != rung_rates_.size() ||
+        to_size(product_count_) != product_rate_factors_.size() ||
+        product_rate_factors_.size() != product_floors_.size() ||
+        product_rate_factors_.size() != product_tops_.size())
       throw std::invalid_argument("the settings' rungs and products do not match");
-    weigh_rungs();
-  }
-  double uplink_given() const { return uplinks_told_ ? SettingsReader(given_).number("rack_uplink", 0) : 0; }
-
-  // The ordinary path: the highest rung that passes, on the roomiest holder, or an answer at once.
-  void place(int index) {
-    Play &play = plays_[at(index)];
-    const PlayRequest &terms = play.terms;
-    int low = lowest(terms.product), top = highest(terms);
-    bool first = play.allocations == 0;
-    if (!first && play.may_have_run && !safe_[at(terms.product)]) return give_up(index);
-    if (play.allocations >= allowed_ || (!first && !retries_.allows(now_))) return give_up(index);
-    if (now_ >= play.target_at || play.limit_at - now_ < kLeastSetUp) return give_up(index);
-    if (!seat_free(terms)) return give_up(index);
-
-    find_open(play);
+    compute_strictness();
+  }
+
+  double uplink_capacity() const {
+    return uplinks_reported_ ? SettingsReader(settings_).number("rack_uplink", 0) : 0;
+  }
+
+  // Starts an allocation at the highest rung that passes the test on any candidate, on the server with the
+  // most room among those that pass; ties are resolved by the shared hash. Where nothing passes, the play is
+  // declined or failed at once.
+  void place_play(int index) {
+    Play &play = plays_[to_size(index)];
+    const PlayRequest &request = play.request;
+    int low = lowest_rung(request.product), top = highest_rung(request);
+    bool is_first = play.allocations == 0;
+    if (!is_first && play.may_have_run && !is_repeatable_[to_size(request.product)])
+      return decline_or_fail(index);
+    if (play.allocations >= max_allocations_ || (!is_first && !retry_budget_.allows(now_)))
+      return decline_or_fail(index);
+    if (now_ >= play.first_frame_deadline || play.deadline - now_ < kMinTimeLeft)
+      return decline_or_fail(index);
+    if (!has_free_seat(request)) return decline_or_fail(index);
+
+    find_candidates(play);
     int best = -1, best_rung = -1;
     double best_room = 0;
     for (int rung = top; rung >= low && best < 0; --rung) {
-      for (int s : open_) {
-        int group = terms.product * rungs() + rung;
-        gather(servers_[at(s)].link);
-        double room = capacity(servers_[at(s)].link) - demand_;
+      for (int s : candidates_) {
+        int group = request.product * rung_count() + rung;
+        gather_demand(servers_[to_size(s)].link);
+        double room = capacity(servers_[to_size(s)].link) - gathered_demand_;
         bool roomier =
-            best < 0 || room > best_room || (room == best_room && hash(terms, s) > hash(terms, best));
-        if (roomier && fits(servers_[at(s)], group, group_rate(group)))
-          best = s, best_rung = rung, best_room = room;
+            best < 0 || room > best_room || (room == best_room && hash(request, s) > hash(request, best));
+        if (roomier && fits(servers_[to_size(s)], group, group_rate(group))) {
+          best = s;
+          best_rung = rung;
+          best_room = room;
+        }
       }
     }
-    if (best < 0) return give_up(index);
+    if (best < 0) return decline_or_fail(index);
 
-    if (!first) retries_.retry_made(now_);
+    if (!is_first) retry_budget_.retry_made(now_);
     play.server = best;
     play.rung = best_rung;
-    play.tried[at(play.allocations) % play.tried.size()] = best;
+    play.tried_servers[to_size(play.allocations) % play.tried_servers.size()] = best;
     ++play.allocations;
-    servers_[at(best)].last_sent = now_;
-    answers_.set_rung(index, best_rung);
-    answers_.start_allocation(index, best, time_out(play));
-    become(index, PlayState::allocating);
-  }
-
-  // Guards against a choice by lot on fleets where a front hears of few servers: where probes carry load, a
-  // first try asks some unheard holders. An answer takes a moment, a bad choice costs the play's whole
-  // length; it could harm where probes are slow or dear. True if the play now waits (the wait ends in
-  // kPlace).
-  bool ask_holders(int index) {
-    Play &play = plays_[at(index)];
-    if (!may_probe_ || play.terms.is_repeated) return false; // who comes again has been asked for
-    find_open(play);
-    std::erase_if(open_, [&](int s) { return now_ - servers_[at(s)].link.told_at <= kFreshNews; });
-    if (open_.empty()) return false;
-    auto asked = open_.begin() + std::min(kAsked, static_cast<std::ptrdiff_t>(open_.size()));
-    auto first = [&](int a, int b) { return hash(play.terms, a) > hash(play.terms, b); };
-    std::partial_sort(open_.begin(), asked, open_.end(), first);
-    for (auto s = open_.begin(); s != asked; ++s) probe(servers_[at(*s)]);
-    answers_.set_timer(kAskWait, kPlace);
+    servers_[to_size(best)].last_sent = now_;
+    handler_.set_rung(index, best_rung);
+    handler_.start_allocation(index, best, allocation_timeout(play));
+    set_state(index, PlayState::allocating);
+  }
+
+  // Probes a few candidates without a fresh report before a first placement, where probes return load.
+  // Without it, a front end that gets reports of few servers would choose among the others at random. An
+  // answer takes a moment, while a bad choice costs for the whole length of the play; this would do harm
+  // where probes are slow or expensive. Returns true if the play now waits, which kPlacementTimer ends.
+  bool probe_candidates(int index) {
+    Play &play = plays_[to_size(index)];
+    // Candidates of a repeated request were probed for the earlier one.
+    if (!may_probe_ || play.request.is_repeated) return false;
+    find_candidates(play);
+    std::erase_if(candidates_,
+                  [&](int s) { return now_ - servers_[to_size(s)].link.reported_at <= kFreshReportAge; });
+    if (candidates_.empty()) return false;
+    auto probed_end =
+        candidates_.begin() + std::min(kPlacementProbes, static_cast<std::ptrdiff_t>(candidates_.size()));
+    auto by_hash = [&](int a, int b) { return hash(play.request, a) > hash(play.request, b); };
+    std::partial_sort(candidates_.begin(), probed_end, candidates_.end(), by_hash);
+    for (auto s = candidates_.begin(); s != probed_end; ++s) probe_if_due(servers_[to_size(*s)]);
+    handler_.set_timer(kPlacementProbeWait, kPlacementTimer);
     return true;
   }
 
-  // Plays under way, and servers that have left long ago; by the servers that either concerns.
+  // Called every kReviewInterval: steps running plays and forgets servers that left. It looks only at servers
+  // with own plays and at servers that are known and not listed.
   void review() {
     SortedIndices racks;
-    for (int s : occupied_) racks.add(servers_[at(s)].rack);
-    for (int rack : racks) lower(racks_[at(rack)], servers_at(rack));
-    for (int s : occupied_) {
-      ++work_.for_reviews;
-      Server &server = servers_[at(s)];
-      lower(server.link, std::span(&s, 1));
-      raise(server);
+    for (int s : servers_with_plays_) racks.add(servers_[to_size(s)].rack);
+    for (int rack : racks) step_plays_down(uplinks_[to_size(rack)], servers_with_plays_at(rack));
+    for (int s : servers_with_plays_) {
+      ++scan_counts_.for_reviews;
+      Server &server = servers_[to_size(s)];
+      step_plays_down(server.link, std::span(&s, 1));
+      step_plays_up(server);
     }
     forget_departed();
-    answers_.set_timer(kReviewEvery, kReview);
+    handler_.set_timer(kReviewInterval, kReviewTimer);
   }
 
-  std::span<const int> servers_at(int rack) { // with plays of ours
-    at_rack_.clear();
-    for (int s : occupied_) {
-      ++work_.for_reviews;
-      if (servers_[at(s)].rack == rack) at_rack_.push_back(s);
+  // The servers of the rack that have own plays; valid until the next call.
+  std::span<const int> servers_with_plays_at(int rack) {
+    rack_servers_.clear();
+    for (int s : servers_with_plays_) {
+      ++scan_counts_.for_reviews;
+      if (servers_[to_size(s)].rack == rack) rack_servers_.push_back(s);
     }
-    return at_rack_;
+    return rack_servers_;
   }
 
+  // Forgets servers without own plays that have not been listed for longer than kForgetDelay.
   void forget_departed() {
-    forgotten_.clear();
-    for (int s : departed_) {
-      ++work_.for_reviews;
-      const Server &server = servers_[at(s)];
-      if (server.plays.empty() && now_ - server.listed_at > kForgetAfter) forgotten_.push_back(s);
-    }
-    for (int s : forgotten_) {
-      departed_.remove(s);
-      answers_.forget_server(s);
-      Server &server = servers_[at(s)];
-      bool counted = server.counted_avoided;
+    servers_to_forget_.clear();
+    for (int s : departed_servers_) {
+      ++scan_counts_.for_reviews;
+      const Server &server = servers_[to_size(s)];
+      if (server.plays.empty() && now_ - server.last_listed_at > kForgetDelay)
+        servers_to_forget_.push_back(s);
+    }
+    for (int s : servers_to_forget_) {
+      departed_servers_.remove(s);
+      handler_.forget_server(s);
+      Server &server = servers_[to_size(s)];
+      bool was_in_avoided_list = server.in_avoided_list;
       server = Server{};
-      server.counted_avoided = counted;
+      server.in_avoided_list = was_in_avoided_list;
     }
   }
 
-  // Plays under way. Where a link runs short this front steps down its part of the excess.
-  void lower(Link &link, std::span<const int> its_servers) {
-    if (link.given <= 0) return; // nothing known of it: what is told of it has no scale
-    if (now_ - std::max(link.told_at, link.short_at) > kFreshNews) return;
-    if (now_ - link.lowered_at < note_delay_ + kShortHolds) return; // until the news shows the last steps
-    double own = gather(link, false);
-    double mine = (demand_ - capacity(link) * kShortFrom) * std::min(1.0, own / std::max(demand_, 1.0));
-    while (mine > 0) {
-      int play = pick_step(its_servers, -1);
+  // Steps running plays down while the link is overrun. This front end removes its part of the excess, in
+  // proportion to its part of the demand.
+  void step_plays_down(Link &link, std::span<const int> server_indices) {
+    // Where the capacity is unknown, a reported demand cannot be converted to a rate.
+    if (link.nominal_capacity <= 0) return;
+    if (now_ - std::max(link.reported_at, link.shortage_at) > kFreshReportAge) return;
+    // Waits until reports include the previous steps.
+    if (now_ - link.stepped_down_at < feedback_delay_ + kShortageHoldTime) return;
+    double own = gather_demand(link, false);
+    double own_excess = (gathered_demand_ - capacity(link) * kStepDownThreshold) *
+                        std::min(1.0, own / std::max(gathered_demand_, 1.0));
+    while (own_excess > 0) {
+      int play = pick_play_to_step(server_indices, -1);
       if (play < 0) return;
-      int group = group_of(plays_[at(play)]);
-      double less = group_rate(group) - group_rate(group - 1);
-      link.lowered_at = now_;
-      if (chance() * less > kOvershoot * mine) return; // what is less than a step to give goes by chance
-      mine -= less;
-      step(play, -1);
-    }
-  }
-
-  // Where room lasts, a few plays step up, once for each piece of news. All fronts with plays there hear the
-  // same, so each steps by the chance at which all plays there together, were they to do so, still pass.
-  void raise(Server &server) {
-    // On old news it asks, where it may; with none to be had it steps once, by what is usual.
-    const int own = index_of(server);
-    std::span<const int> its_servers(&own, 1);
-    bool old = now_ - server.link.told_at > kFreshNews;
-    if (old && may_probe_ && now_ - server.probed_at > kStepProbe && pick_step(its_servers, 1) >= 0)
-      probe(server);
-    if ((old && server.link.told_at > 0) || server.link.told_at <= server.raised_at) return;
-    server.raised_at = server.link.told_at;
-    for (int raised = 0; raised < kRaises; ++raised) {
-      int index = pick_step(its_servers, 1);
+      int group = group_of(plays_[to_size(play)]);
+      double rate_reduction = group_rate(group) - group_rate(group - 1);
+      link.stepped_down_at = now_;
+      // An excess that is less than one step is removed with a probability in proportion to it.
+      if (random_fraction() * rate_reduction > kStepDownOdds * own_excess) return;
+      own_excess -= rate_reduction;
+      step_play(play, -1);
+    }
+  }
+
+  // Steps a few plays up where the link has room, once for each report. All front ends with plays on the link
+  // get the same report, so each steps with the highest probability with which all plays on the link could
+  // step up together and still pass the test.
+  void step_plays_up(Server &server) {
+    // An old report is renewed by a probe where probes are allowed. Where there was never a report, plays
+    // step up once, on the estimated demand.
+    const int own_index = index_of(server);
+    std::span<const int> server_indices(&own_index, 1);
+    bool is_old = now_ - server.link.reported_at > kFreshReportAge;
+    if (is_old && may_probe_ && now_ - server.probed_at > kStepUpProbeInterval &&
+        pick_play_to_step(server_indices, 1) >= 0)
+      probe_if_due(server);
+    if ((is_old && server.link.reported_at > 0) || server.link.reported_at <= server.stepped_up_at) return;
+    server.stepped_up_at = server.link.reported_at;
+    for (int steps = 0; steps < kMaxStepsUp; ++steps) {
+      int index = pick_play_to_step(server_indices, 1);
       if (index < 0) return;
-      int low = plays_[at(index)].rung, rung = low;
-      int from = group_of(plays_[at(index)]);
-      double part = 2;
-      while (rung == low && (part /= 2) > kLeastPart) {
-        rung = highest(plays_[at(index)].terms); // a step costs the same however far it goes
-        while (rung > low && !fits(server, from + rung - low,
-                                   group_rate(from + rung - low) - group_rate(from), kRaise, part))
+      int low = plays_[to_size(index)].rung, rung = low;
+      int from = group_of(plays_[to_size(index)]);
+      double share = 2;
+      while (rung == low && (share /= 2) > kMinStepUpShare) {
+        // A step costs the same over any number of rungs, so the highest rung is tried first.
+        rung = highest_rung(plays_[to_size(index)].request);
+        while (rung > low &&
+               !fits(server, from + rung - low, group_rate(from + rung - low) - group_rate(from),
+                     kStepUpStrictness, share))
           --rung;
       }
-      if (rung == low || chance() >= part) return;
-      step(index, rung - low);
+      if (rung == low || random_fraction() >= share) return;
+      step_play(index, rung - low);
     }
   }
 
-  // The play of ours at these servers whose step earns most for its rate (up) or loses least (down); of
-  // equals the one of the lowest index.
-  int pick_step(std::span<const int> its_servers, int by) {
+  // Returns the running own play on these servers whose step gains the most importance for its rate (up) or
+  // loses the least (down); among equals the one with the lowest index; -1 where there is none. `delta` is 1
+  // or -1.
+  int pick_play_to_step(std::span<const int> server_indices, int delta) {
     int best = -1;
-    double best_earning = 0;
-    for (int s : its_servers) {
-      ++work_.for_reviews;
-      const Server &server = servers_[at(s)];
+    double best_gain = 0;
+    for (int s : server_indices) {
+      ++scan_counts_.for_reviews;
+      const Server &server = servers_[to_size(s)];
       for (int p : server.plays) {
-        const Play &play = plays_[at(p)];
-        if (play.state != PlayState::playing || now_ - play.stepped_at < kStepRest) continue;
-        int rung = play.rung + by, product = play.terms.product;
-        if (rung < lowest(product) || rung > highest(play.terms)) continue;
-        double earning = earning_[at(group_of(play) + (by > 0 ? 1 : 0))] * by;
-        if (best < 0 || earning > best_earning || (earning == best_earning && p < best))
-          best = p, best_earning = earning;
+        const Play &play = plays_[to_size(p)];
+        if (play.state != PlayState::playing || now_ - play.stepped_at < kStepCooldown) continue;
+        int rung = play.rung + delta, product = play.request.product;
+        if (rung < lowest_rung(product) || rung > highest_rung(play.request)) continue;
+        double gain = importance_per_rate_[to_size(group_of(play) + (delta > 0 ? 1 : 0))] * delta;
+        if (best < 0 || gain > best_gain || (gain == best_gain && p < best)) {
+          best = p;
+          best_gain = gain;
+        }
       }
     }
     return best;
   }
 
-  void step(int index, int by) {
-    Play &play = plays_[at(index)];
+  // Changes the rung of a running play by `delta` and sends the change.
+  void step_play(int index, int delta) {
+    Play &play = plays_[to_size(index)];
     play.stepped_at = now_;
-    step_to(index, play.rung + by);
-    answers_.set_rung(index, play.rung);
+    change_rung(index, play.rung + delta);
+    handler_.set_rung(index, play.rung);
   }
 
-  // The final answer when nothing more is tried: a decline where that is safe to say, else a failure.
-  void give_up(int index) {
-    Play &play = plays_[at(index)];
-    if (play.may_have_run && !safe_[at(play.terms.product)]) {
-      answers_.fail_play(index);
+  // Answers a play for which no further allocation is made: fails it where it may have run and must not be
+  // repeated, and otherwise declines it, with a random retry time that spreads the viewers.
+  void decline_or_fail(int index) {
+    Play &play = plays_[to_size(index)];
+    if (play.may_have_run && !is_repeatable_[to_size(play.request.product)]) {
+      handler_.fail_play(index);
     } else {
-      answers_.decline_play(index, longest_retry_after_ * (0.5 + 0.5 * chance()));
-    }
-    finish(index);
-  }
-
-  void finish(int index) {
-    become(index, PlayState::vacant);
-    answers_.forget_play(index);
-  }
-
-  // The one place where a play's state changes; it keeps the tallies in step.
-  void become(int index, PlayState next) {
-    Play &play = plays_[at(index)];
-    bool was_out = holds(play.state), is_out = holds(next);
-    if (was_out != is_out && play.server >= 0) {
-      tally(play, is_out ? 1 : -1);
-      seat(play.terms) += is_out ? 1 : -1;
-      std::vector<int> &there = servers_[at(play.server)].plays;
-      if (is_out) {
-        occupied_.add(play.server);
-        play.place = there.size();
-        there.push_back(index);
-      } else { // the last takes its place
-        plays_[at(there.back())].place = play.place;
-        there[play.place] = there.back();
-        there.pop_back();
-        if (there.empty()) occupied_.remove(play.server);
+      handler_.decline_play(index, longest_retry_after_ * (0.5 + 0.5 * random_fraction()));
+    }
+    release_play(index);
+  }
+
+  // Ends a play; its index may be reused.
+  void release_play(int index) {
+    set_state(index, PlayState::unused);
+    handler_.forget_play(index);
+  }
+
+  // Changes the state of a play. All changes go through here, so that the counts of plays stay consistent.
+  void set_state(int index, PlayState next) {
+    Play &play = plays_[to_size(index)];
+    bool was_on_server = is_on_server(play.state), is_now_on_server = is_on_server(next);
+    if (was_on_server != is_now_on_server && play.server >= 0) {
+      count_plays(play, is_now_on_server ? 1 : -1);
+      taken_seats(play.request) += is_now_on_server ? 1 : -1;
+      std::vector<int> &server_plays = servers_[to_size(play.server)].plays;
+      if (is_now_on_server) {
+        servers_with_plays_.add(play.server);
+        play.index_at_server = server_plays.size();
+        server_plays.push_back(index);
+      } else {
+        // Removes the play by moving the last one to its position.
+        plays_[to_size(server_plays.back())].index_at_server = play.index_at_server;
+        server_plays[play.index_at_server] = server_plays.back();
+        server_plays.pop_back();
+        if (server_plays.empty()) servers_with_plays_.remove(play.server);
       }
     }
     if (play.server >= 0)
-      servers_[at(play.server)].out +=
+      servers_[to_size(play.server)].unanswered +=
           (next == PlayState::allocating) - (play.state == PlayState::allocating);
     play.state = next;
   }
-  static bool holds(PlayState state) { return state >= PlayState::allocating; }
 
-  void step_to(int index, int rung) {
-    Play &play = plays_[at(index)];
-    if (rung == play.rung || rung < 0 || rung >= rungs()) return;
-    tally(play, -1);
+  static bool is_on_server(PlayState state) { return state >= PlayState::allocating; }
+
+  // Records the rung of a play.
+  void change_rung(int index, int rung) {
+    Play &play = plays_[to_size(index)];
+    if (rung == play.rung || rung < 0 || rung >= rung_count()) return;
+    count_plays(play, -1);
     play.rung = rung;
-    tally(play, 1);
-  }
-
-  // ---- The mechanism: demand on a link and the test.
-  // With a part: as if this part of all plays there, whichever front's, did the same.
-  bool fits(const Server &server, int group, double rate, double strictness = 1, double part = 0) {
-    return passes(server.link, group, rate, strictness, part) &&
-           passes(racks_[at(server.rack)], group, rate, strictness, part);
-  }
-
-  bool passes(const Link &link, int group, double rate, double strictness = 1, double part = 0) {
-    if (link.given <= 0) return true; // nothing known of it
-    double own = gather(link);
-    groups_.push_back({std::max(1.0, part * demand_ / std::max(own, 1.0)), rate, kVariation});
-    return log_overrun_bound(groups_, capacity(link)) <=
-           std::log(kTolerance) * strictness_[at(group)] * strictness;
-  }
-
-  // Fills groups_ with the demand on a link: told or guessed, this front's changes since, its own at least.
-  double gather(const Link &link, bool cautious = true) {
-    groups_.clear();
-    double own = 0, since = 0, plays = 0;
-    for (int g = 0; g < static_cast<int>(link.own.size()); ++g) {
-      own += link.own[at(g)] * group_rate(g);
-      plays += link.own[at(g)];
-    }
-    bool news = now_ - link.told_at < kNewsLife;
-    // A link that ran short may soon again (another program on and off): a fading memory; not of an uplink.
-    bool holds_on = !is_rack(link) && (cautious || now_ - link.short_at < kShortHolds);
-    double fading = holds_on ? link.short_of : 0;
-    if (cautious) fading *= std::exp((link.short_at - now_) / kShortFades);
-    double guess = news ? 0 : untold(link, plays); // of others' demand
-    double told = std::max(news ? link.told * capacity(link) : own + guess, fading * capacity(link));
-    if (news) {
-      double adders = cautious ? fronts_adding(link) : 1;
-      for (const Change &change : link.changes) {
+    count_plays(play, 1);
+  }
+
+  // The admission test and the demand on a link.
+
+  // Returns whether a play of the group with this rate may be added to the server's link and its rack's
+  // uplink. `strictness` is a further factor on the logarithm of the tolerance. With a share above 0 the test
+  // is made as if that share of all plays on the link, of all front ends, made the same step.
+  bool fits(const Server &server, int group, double rate, double strictness = 1, double share = 0) {
+    return passes_bound(server.link, group, rate, strictness, share) &&
+           passes_bound(uplinks_[to_size(server.rack)], group, rate, strictness, share);
+  }
+
+  // The test of fits() on one link.
+  bool passes_bound(const Link &link, int group, double rate, double strictness = 1, double share = 0) {
+    // A link of unknown capacity does not restrict.
+    if (link.nominal_capacity <= 0) return true;
+    double own = gather_demand(link);
+    rate_groups_.push_back(
+        {std::max(1.0, share * gathered_demand_ / std::max(own, 1.0)), rate, kRateVariation});
+    return log_overrun_bound(rate_groups_, capacity(link)) <=
+           std::log(kOverrunTolerance) * strictness_[to_size(group)] * strictness;
+  }
+
+  // Fills rate_groups_ and gathered_demand_ with the demand on a link: the reported or estimated demand, plus
+  // the changes by this front end since, and at least the demand of the own plays. Returns the latter. A
+  // conservative result also contains remembered shortages and the expected additions of other front ends.
+  double gather_demand(const Link &link, bool conservative = true) {
+    rate_groups_.clear();
+    double own = 0, added = 0, plays = 0;
+    for (int g = 0; g < static_cast<int>(link.own_plays.size()); ++g) {
+      own += link.own_plays[to_size(g)] * group_rate(g);
+      plays += link.own_plays[to_size(g)];
+    }
+    bool has_report = now_ - link.reported_at < kReportLifetime;
+    // A link that was overrun may soon be so again, for example by another program that sends at intervals.
+    // The remembered demand decays. This does not apply to uplinks.
+    bool counts_shortage = !is_uplink(link) && (conservative || now_ - link.shortage_at < kShortageHoldTime);
+    double remembered_demand = counts_shortage ? link.shortage_demand : 0;
+    if (conservative) remembered_demand *= std::exp((link.shortage_at - now_) / kShortageDecayTime);
+    double estimate = has_report ? 0 : estimate_others_demand(link, plays);
+    double base = std::max(has_report ? link.reported_demand * capacity(link) : own + estimate,
+                           remembered_demand * capacity(link));
+    if (has_report) {
+      double adding_fronts = conservative ? fronts_adding_plays(link) : 1;
+      for (const PlayCountChange &change : link.changes) {
         if (change.plays > 0) {
-          groups_.push_back({change.plays * adders, group_rate(change.group), kVariation});
-          since += change.plays * adders * group_rate(change.group);
+          rate_groups_.push_back({change.plays * adding_fronts, group_rate(change.group), kRateVariation});
+          added += change.plays * adding_fronts * group_rate(change.group);
         } else {
-          told += change.plays * group_rate(change.group);
+          base += change.plays * group_rate(change.group);
         }
       }
     }
-    told = std::max({told, own - since, 0.0}) + (news && cautious ? crowding(link) : 0);
-    demand_ = told + since;
-    if (guess > 0) groups_.push_back({1, guess, 1 / std::sqrt(kGuessShape + plays)}), told -= guess;
-    if (double middle = group_rate(rungs() / 2); told > 0)
-      groups_.push_back({told / middle, middle, kVariation});
+    base = std::max({base, own - added, 0.0}) + (has_report && conservative ? surge_demand(link) : 0);
+    gathered_demand_ = base + added;
+    if (estimate > 0) {
+      rate_groups_.push_back({1, estimate, 1 / std::sqrt(kEstimateShape + plays)});
+      base -= estimate;
+    }
+    if (double middle = group_rate(rung_count() / 2); base > 0)
+      rate_groups_.push_back({base / middle, middle, kRateVariation});
     return own;
   }
 
-  // Guards against a crowd that all fronts admit blindly until the next news: far more requests than usual
-  // here speak of as many at every front. It could harm where a crowd comes to one front alone.
-  double crowding(const Link &link) const {
-    double surge = rush_.seen(now_) - 2 * usual_rush_.seen(now_) - 1 / rush_.over;
-    double all = is_rack(link) ? rack_capacity_ : link_capacity_;
-    if (surge <= 0 || all <= 0 || held_ <= 0) return 0;
-    double age = std::clamp(now_ - link.told_at, 0.0, kFreshNews);
-    return surge * (fronts_ - 1) * age * capacity(link) / all * own_in_all_ / held_;
-  }
-
-  // Fronts that add alike after the same news of a told uplink: own set-ups speak for the others' as far as
-  // requests usually come here often enough between two pieces of news for them to be more than chance.
-  double fronts_adding(const Link &link) const {
-    if (!uplinks_told_ || !is_rack(link)) return 1;
-    double usual = usual_rush_.seen(now_) * (now_ - link.told_at) / static_cast<double>(racks_.size());
-    return 1 + (fronts_ - 1) * usual / (usual + 1);
-  }
-
-  // A rung that earns less for its rate than the best of any product is held to a tighter tolerance.
-  void weigh_rungs() {
-    for (int g = 0; g < products_ * rungs(); ++g) {
-      int r = g % rungs();
-      double more = rung_worth_[at(r)] - (r > 0 ? rung_worth_[at(r - 1)] : 0);
-      earning_.push_back(more * importance_[at(g / rungs())] /
-                         (group_rate(g) - (r > 0 ? group_rate(g - 1) : 0)));
+  // Returns the rate that other front ends are expected to have added since the last report during a surge of
+  // requests. Without it, all front ends would admit the surge on the same old report. A request rate far
+  // above the usual one here is taken as a sign of the same at every front end; this would do harm where a
+  // surge comes to one front end only.
+  double surge_demand(const Link &link) const {
+    double excess_rate = recent_request_rate_.rate_at(now_) - 2 * usual_request_rate_.rate_at(now_) -
+                         1 / recent_request_rate_.time_constant;
+    double total_capacity = is_uplink(link) ? total_uplink_capacity_ : total_link_capacity_;
+    if (excess_rate <= 0 || total_capacity <= 0 || own_play_count_ <= 0) return 0;
+    double age = std::clamp(now_ - link.reported_at, 0.0, kFreshReportAge);
+    return excess_rate * (front_count_ - 1) * age * capacity(link) / total_capacity * own_demand_ /
+           own_play_count_;
+  }
+
+  // Returns the number of front ends, with this one, that are assumed to add as many plays to a reported
+  // uplink as this one since the same report. Own set-ups are evidence of others' only as far as requests
+  // usually come often enough between two reports for the number to be more than chance.
+  double fronts_adding_plays(const Link &link) const {
+    if (!uplinks_reported_ || !is_uplink(link)) return 1;
+    double usual_requests =
+        usual_request_rate_.rate_at(now_) * (now_ - link.reported_at) / static_cast<double>(uplinks_.size());
+    return 1 + (front_count_ - 1) * usual_requests / (usual_requests + 1);
+  }
+
+  // Makes the tolerance stricter for a rung that gains less importance for its rate than the best rung of any
+  // product.
+  void compute_strictness() {
+    for (int g = 0; g < product_count_ * rung_count(); ++g) {
+      int r = g % rung_count();
+      double gain = rung_importance_[to_size(r)] - (r > 0 ? rung_importance_[to_size(r - 1)] : 0);
+      importance_per_rate_.push_back(gain * product_importance_[to_size(g / rung_count())] /
+                                     (group_rate(g) - (r > 0 ? group_rate(g - 1) : 0)));
     }
-    for (int g = products_ * rungs() - 1; g >= 0; --g) { // a low rung opens the way to those above it
-      if (g % rungs() < rungs() - 1) earning_[at(g)] = std::max(earning_[at(g)], earning_[at(g + 1)]);
+    // A rung counts as much as the best one above it, since it is the way to that one.
+    for (int g = product_count_ * rung_count() - 1; g >= 0; --g) {
+      if (g % rung_count() < rung_count() - 1)
+        importance_per_rate_[to_size(g)] =
+            std::max(importance_per_rate_[to_size(g)], importance_per_rate_[to_size(g + 1)]);
     }
-    double best = *std::max_element(earning_.begin(), earning_.end());
-    for (double e : earning_) strictness_.push_back(std::pow(best / e, kThrift));
-  }
-
-  void take_entry(const ServerEntry &entry) {
-    ++work_.for_lists;
-    if (entry.server >= static_cast<int>(servers_.size()))
-      servers_.resize(at(entry.server) + 1), open_.reserve(servers_.size());
-    Server &server = servers_[at(entry.server)];
+    double best = *std::max_element(importance_per_rate_.begin(), importance_per_rate_.end());
+    for (double value : importance_per_rate_)
+      strictness_.push_back(std::pow(best / value, kStrictnessExponent));
+  }
+
+  // Adds a server or updates it from an entry of a list. A later start than the known one makes it cold and
+  // ends its avoidance.
+  void apply_entry(const ServerEntry &entry) {
+    ++scan_counts_.for_lists;
+    if (entry.server >= static_cast<int>(servers_.size())) {
+      servers_.resize(to_size(entry.server) + 1);
+      candidates_.reserve(servers_.size());
+    }
+    Server &server = servers_[to_size(entry.server)];
     if (entry.started_at > 0 && entry.started_at > server.entry.started_at) {
       server.cold_since = std::max(server.cold_since, entry.started_at);
-      if (server.known) server.strikes = 0, server.avoid_until = now_;
+      if (server.known) {
+        server.consecutive_failures = 0;
+        server.avoid_until = now_;
+      }
     }
-    bool was_listed = server.listed, first_heard = !server.known;
-    set_listed(server, false); // with what it was listed as
+    bool was_listed = server.listed, is_new = !server.known;
+    // Subtracts the server's previous values from the sums.
+    set_listed(server, false);
     server.entry = entry;
-    if (!server.known) open_link(server.link);
+    if (!server.known) init_link(server.link);
     server.known = true;
-    measure(server);
+    update_capacity(server);
     set_listed(server, entry.status == ServerStatus::active);
     if (server.listed) {
-      departed_.remove(entry.server);
+      departed_servers_.remove(entry.server);
     } else {
-      departed_.add(entry.server);
-      if (was_listed || first_heard) server.listed_at = now_;
+      departed_servers_.add(entry.server);
+      if (was_listed || is_new) server.last_listed_at = now_;
     }
-    set_rack(server, entry.cell % static_cast<int>(racks_.size()));
+    set_rack(server, entry.cell % static_cast<int>(uplinks_.size()));
   }
 
-  // The one place where a server joins or leaves those that are listed; it keeps the sums in step.
+  // Adds a server to the listed ones or removes it. All changes go through here, so that the sums stay
+  // consistent.
   void set_listed(Server &server, bool listed) {
     if (server.listed == listed) return;
-    int by = listed ? 1 : -1;
+    int sign = listed ? 1 : -1;
     server.listed = listed;
-    listed_ += by;
-    std::vector<int> &cell = listed_in_[at(cell_of(server.entry.cell))];
+    listed_count_ += sign;
+    std::vector<int> &cell = listed_by_cell_[to_size(wrap_cell(server.entry.cell))];
     if (listed)
       cell.push_back(index_of(server));
     else
       std::erase(cell, index_of(server));
-    listed_places_ += by * server.link.places;
-    listed_capacity_ += by * server.link.given;
-    placed_capacity_ += by * server.link.given * server.link.places;
+    listed_play_capacity_ += sign * server.link.play_capacity;
+    listed_capacity_ += sign * server.link.nominal_capacity;
+    capacity_by_plays_ += sign * server.link.nominal_capacity * server.link.play_capacity;
   }
 
   void set_rack(Server &server, int rack) {
     if (rack == server.rack) return;
-    for (int g = 0; g < products_ * rungs(); ++g) { // plays of ours go with it
-      racks_[at(server.rack)].own[at(g)] -= server.link.own[at(g)];
-      racks_[at(rack)].own[at(g)] += server.link.own[at(g)];
+    // Moves the counts of own plays from the old uplink to the new one.
+    for (int g = 0; g < product_count_ * rung_count(); ++g) {
+      uplinks_[to_size(server.rack)].own_plays[to_size(g)] -= server.link.own_plays[to_size(g)];
+      uplinks_[to_size(rack)].own_plays[to_size(g)] += server.link.own_plays[to_size(g)];
     }
     server.rack = rack;
   }
 
-  // Where weights say nothing, a kind with more places is held to have a link larger in proportion.
-  void share_places() {
-    by_places_ = SettingsReader(given_).text("weight_meaning") == "none" && listed_places_ > 0;
-    link_capacity_ =
-        static_cast<double>(by_places_ ? placed_capacity_ * listed_ / listed_places_ : listed_capacity_);
+  // Where weights have no meaning, the capacity of a link is assumed to be in proportion to the number of
+  // plays that the server has room for.
+  void update_capacity_scale() {
+    scales_by_play_capacity_ =
+        SettingsReader(settings_).text("weight_meaning") == "none" && listed_play_capacity_ > 0;
+    total_link_capacity_ = static_cast<double>(scales_by_play_capacity_ ? capacity_by_plays_ * listed_count_ /
+                                                                              listed_play_capacity_
+                                                                        : listed_capacity_);
   }
 
+  // The capacity of a link in kB per second; it is scaled where weights have no meaning.
   double capacity(const Link &link) const {
-    return by_places_ && !is_rack(link)
-               ? link.given * static_cast<double>(link.places * listed_ / listed_places_)
-               : link.given;
+    return scales_by_play_capacity_ && !is_uplink(link)
+               ? link.nominal_capacity *
+                     static_cast<double>(link.play_capacity * listed_count_ / listed_play_capacity_)
+               : link.nominal_capacity;
   }
 
-  void measure(Server &server) {
-    server.link.given = server.entry.weight * link_per_weight_;
-    server.link.places = places_of(server);
+  void update_capacity(Server &server) {
+    server.link.nominal_capacity = server.entry.weight * link_per_weight_;
+    server.link.play_capacity = play_capacity_of(server);
   }
 
-  void open_uplinks() {
-    rack_capacity_ = 0;
-    for (Link &uplink : racks_) {
-      uplink.given = uplink_given();
-      rack_capacity_ += uplink.given;
+  void update_uplink_capacities() {
+    total_uplink_capacity_ = 0;
+    for (Link &uplink : uplinks_) {
+      uplink.nominal_capacity = uplink_capacity();
+      total_uplink_capacity_ += uplink.nominal_capacity;
     }
   }
 
-  double places_of(const Server &server) const {
-    return server.entry.kind >= 0 && at(server.entry.kind) < kind_places_.size()
-               ? kind_places_[at(server.entry.kind)]
+  double play_capacity_of(const Server &server) const {
+    return server.entry.kind >= 0 && to_size(server.entry.kind) < kind_capacities_.size()
+               ? kind_capacities_[to_size(server.entry.kind)]
                : 0;
   }
 
-  // Unheard of, a link is held to be used as those heard of lately are, and as far as own plays, which come
-  // to so many a link, tell of all fronts'; more own plays than that here speak of more of the others'.
-  double untold(const Link &link, double plays) const {
-    bool rack = is_rack(link);
-    const Usual &usual = usual_[rack];
-    double all = rack ? rack_capacity_ : link_capacity_;
-    if (all <= 0) return 0;
-    double heard = usual.weight * std::exp((usual.at - now_) / kNewsLife);
-    double weight = held_ / kPlaysALink;
-    double use =
-        (heard * usual.use + weight * own_in_all_ * fronts_ / all + kUnknownUse) / (heard + weight + 1);
-    double expected = held_ * capacity(link) / all;
-    return (fronts_ - 1) / fronts_ * use * capacity(link) * (kFewPlays + plays) / (kFewPlays + expected);
-  }
-
-  bool is_rack(const Link &link) const {
-    return &link >= racks_.data() && &link < racks_.data() + racks_.size();
-  }
-
-  void hear(Link &link, double asked, double as_of) {
-    if (as_of < link.told_at) return;
-    link.told = asked;
-    Usual &usual = usual_[is_rack(link)];
-    usual.weight = 1 + usual.weight * std::exp((usual.at - now_) / kNewsLife);
-    usual.use += (asked - usual.use) / usual.weight;
-    usual.at = now_;
-    if (asked > 1) link.short_of = asked, link.short_at = as_of;
-    link.told_at = as_of;
-    std::erase_if(link.changes, [&](const Change &c) { return c.at <= as_of; });
+  // Estimates the rate that other front ends' plays demand of a link without a recent report. The demand is
+  // assumed to be the mean of three sources: links with recent reports, the own demand times the number of
+  // front ends, and kPriorDemand. More own plays on the link than expected from its capacity are a sign of
+  // more plays of others. `plays` is the number of own plays on the link.
+  double estimate_others_demand(const Link &link, double plays) const {
+    bool uplink = is_uplink(link);
+    const MeanDemand &mean = mean_reported_[uplink];
+    double total_capacity = uplink ? total_uplink_capacity_ : total_link_capacity_;
+    if (total_capacity <= 0) return 0;
+    double report_weight = mean.weight * std::exp((mean.updated_at - now_) / kReportLifetime);
+    double own_weight = own_play_count_ / kPlaysPerReport;
+    double demand = (report_weight * mean.demand + own_weight * own_demand_ * front_count_ / total_capacity +
+                     kPriorDemand) /
+                    (report_weight + own_weight + 1);
+    double expected_plays = own_play_count_ * capacity(link) / total_capacity;
+    return (front_count_ - 1) / front_count_ * demand * capacity(link) * (kExpectedPlaysWeight + plays) /
+           (kExpectedPlaysWeight + expected_plays);
+  }
+
+  bool is_uplink(const Link &link) const {
+    return &link >= uplinks_.data() && &link < uplinks_.data() + uplinks_.size();
+  }
+
+  // Stores a reported demand, unless a newer one is stored, and drops the changes that it includes.
+  void record_demand(Link &link, double demand, double measured_at) {
+    if (measured_at < link.reported_at) return;
+    link.reported_demand = demand;
+    MeanDemand &mean = mean_reported_[is_uplink(link)];
+    mean.weight = 1 + mean.weight * std::exp((mean.updated_at - now_) / kReportLifetime);
+    mean.demand += (demand - mean.demand) / mean.weight;
+    mean.updated_at = now_;
+    if (demand > 1) {
+      link.shortage_demand = demand;
+      link.shortage_at = measured_at;
+    }
+    link.reported_at = measured_at;
+    std::erase_if(link.changes, [&](const PlayCountChange &change) { return change.time <= measured_at; });
   }
 
-  void read_report(int index, const LoadReport &report, double as_of) {
+  // Records the load that a server reported of its link and its rack's uplink.
+  void apply_report(int index, const LoadReport &report, double measured_at) {
     if (index < 0) return;
-    Server &server = servers_[at(index)];
-    double asked = report.link_demand ? *report.link_demand : report.link_share.value_or(0);
-    see_warm(server, asked);
+    Server &server = servers_[to_size(index)];
+    double demand = report.link_demand ? *report.link_demand : report.link_share.value_or(0);
+    detect_warm(server, demand);
     if (report.link_demand) {
-      hear(server.link, *report.link_demand, as_of);
-    } else if (report.link_share) { // capped: at one it only says at least
-      hear(server.link, *report.link_share < 0.99 ? *report.link_share : std::max(1.0, server.link.told),
-           as_of);
+      record_demand(server.link, *report.link_demand, measured_at);
+    } else if (report.link_share) {
+      // The share is at most 1; a value of 1 only means that the demand is at least 1.
+      record_demand(server.link,
+                    *report.link_share < kFullLinkShare ? *report.link_share
+                                                        : std::max(1.0, server.link.reported_demand),
+                    measured_at);
     }
-    // What the link carries its rack's uplink carries too: an uplink at nothing beside it was not read yet.
-    bool unread = report.uplink_demand && *report.uplink_demand <= 0 && asked > 0;
-    if (report.uplink_demand && !unread) hear(racks_[at(server.rack)], *report.uplink_demand, as_of);
+    // The uplink of the rack carries what the link carries. An uplink demand of 0 beside a demand on the link
+    // therefore means that the server has not read it yet, and it is ignored.
+    bool is_unread = report.uplink_demand && *report.uplink_demand <= 0 && demand > 0;
+    if (report.uplink_demand && !is_unread)
+      record_demand(uplinks_[to_size(server.rack)], *report.uplink_demand, measured_at);
   }
 
-  void tally(const Play &play, int plays) {
+  // Adds `plays` (1 or -1) plays like this one to the counts of its server's link and its rack's uplink.
+  void count_plays(const Play &play, int plays) {
     int group = group_of(play);
-    own_in_all_ += plays * group_rate(group), held_ += plays;
-    Server &server = servers_[at(play.server)];
-    for (Link *link : {&server.link, &racks_[at(server.rack)]}) {
-      link->own[at(group)] += plays;
-      if (link->changes.size() >= kChangesKept) link->changes.erase(link->changes.begin());
+    own_demand_ += plays * group_rate(group);
+    own_play_count_ += plays;
+    Server &server = servers_[to_size(play.server)];
+    for (Link *link : {&server.link, &uplinks_[to_size(server.rack)]}) {
+      link->own_plays[to_size(group)] += plays;
+      if (link->changes.size() >= kMaxChanges) link->changes.erase(link->changes.begin());
       link->changes.push_back({now_, group, plays});
     }
   }
 
-  // ---- Which servers may be sent to.
-  // A symptom that most servers share says more of the front or the network than of them: serve on.
-  void find_open(const Play &play) {
-    bool heed = count_avoided() * 3 < listed_ * 2 || listed_ < 3;
-    open_.clear();
-    int first = cell_of(play.terms.first_cell);
-    for (int c = 0; c < std::min(play.terms.cell_count, cells_); ++c) {
-      for (int s : listed_in_[at((first + c) % cells_)]) {
-        ++work_.for_placements;
-        if (open_to(s, play, heed)) open_.push_back(s);
+  // Choice of candidates and avoidance of servers.
+
+  // Fills candidates_ with the servers that hold the title and may get the play. Where two thirds of the
+  // listed servers or more are avoided, avoidance is ignored: a symptom of most servers has its cause in the
+  // front end or the network rather than in the servers.
+  void find_candidates(const Play &play) {
+    bool respect_avoidance = count_avoided() * 3 < listed_count_ * 2 || listed_count_ < 3;
+    candidates_.clear();
+    int first_cell = wrap_cell(play.request.first_cell);
+    for (int c = 0; c < std::min(play.request.cell_count, cell_count_); ++c) {
+      for (int s : listed_by_cell_[to_size((first_cell + c) % cell_count_)]) {
+        ++scan_counts_.for_placements;
+        if (is_candidate(s, play, respect_avoidance)) candidates_.push_back(s);
       }
     }
   }
 
-  int cell_of(int cell) const { return (cell % cells_ + cells_) % cells_; }
+  int wrap_cell(int cell) const { return (cell % cell_count_ + cell_count_) % cell_count_; }
 
-  int count_avoided() { // of those listed; the others are let go of
-    std::erase_if(avoided_, [&](int s) {
-      ++work_.for_placements;
-      Server &server = servers_[at(s)];
+  // Returns the number of listed servers that are avoided, and removes servers whose avoidance has ended.
+  int count_avoided() {
+    std::erase_if(avoided_servers_, [&](int s) {
+      ++scan_counts_.for_placements;
+      Server &server = servers_[to_size(s)];
       if (now_ < server.avoid_until) return false;
-      server.counted_avoided = false;
+      server.in_avoided_list = false;
       return true;
     });
-    return static_cast<int>(std::ranges::count_if(avoided_, [&](int s) { return servers_[at(s)].listed; }));
+    return static_cast<int>(
+        std::ranges::count_if(avoided_servers_, [&](int s) { return servers_[to_size(s)].listed; }));
   }
 
-  void avoid(Server &server, double until) {
-    if (!std::exchange(server.counted_avoided, true)) avoided_.push_back(index_of(server));
+  void avoid_server(Server &server, double until) {
+    if (!std::exchange(server.in_avoided_list, true)) avoided_servers_.push_back(index_of(server));
     server.avoid_until = until;
   }
 
-  bool open_to(int s, const Play &play, bool heed) const {
-    const Server &server = servers_[at(s)];
+  bool is_candidate(int s, const Play &play, bool respect_avoidance) const {
+    const Server &server = servers_[to_size(s)];
     if (!server.listed) return false;
-    if (heed && (now_ < server.avoid_until || (server.strikes > 0 && server.out > 0))) return false;
-    for (int i = 0; i < std::min(play.allocations, static_cast<int>(play.tried.size())); ++i) {
-      if (play.tried[at(i)] == s) return false;
+    // After a failure a server gets one play at a time until a set-up succeeds.
+    if (respect_avoidance &&
+        (now_ < server.avoid_until || (server.consecutive_failures > 0 && server.unanswered > 0)))
+      return false;
+    for (int i = 0; i < std::min(play.allocations, static_cast<int>(play.tried_servers.size())); ++i) {
+      if (play.tried_servers[to_size(i)] == s) return false;
     }
-    return cold_allows(server);
+    return slow_start_permits(server);
   }
 
-  // Use that this front's own plays don't explain takes a cold server's pace most of its warm-up to build.
-  void see_warm(Server &server, double asked) {
-    double own = gather(server.link);
-    if (asked * capacity(server.link) - own > kWarmProof * capacity(server.link)) server.seen_warm = true;
+  // Marks a server as warm where other front ends' plays demand much of it: at the pace of a cold server,
+  // that demand takes most of the warm-up time to build up.
+  void detect_warm(Server &server, double demand) {
+    double own = gather_demand(server.link);
+    if (demand * capacity(server.link) - own > kWarmDemand * capacity(server.link)) server.seen_warm = true;
   }
 
-  bool cold_allows(const Server &server) const {
+  // Returns whether slow start allows a set-up on the server now.
+  bool slow_start_permits(const Server &server) const {
     if (!may_be_cold(server)) return true;
     SlowStartState state;
-    state.capacity = places_of(server);
+    state.capacity = play_capacity_of(server);
     state.known_cold = now_ - server.cold_since < warm_up_;
     state.first_set_up_pending =
         server.answered_at < server.cold_since && server.last_sent >= server.cold_since;
     state.idle_time = now_ - server.last_sent;
-    // One that came back may have sent until it went down.
-    if (state.known_cold && !handed_over_) state.idle_time = std::min(state.idle_time, now_ - opened_);
+    // A front end that has restarted may have sent set-ups until it went down.
+    if (state.known_cold && !was_handed_plays_)
+      state.idle_time = std::min(state.idle_time, now_ - created_at_);
     return slow_start_allows(slow_start_, state, now_);
   }
 
-  // Guards against set-ups that arrive together: the first after a start waits for a new connection, which
-  // may come up late. It goes alone, and the pace counts from its answer or end. Harms where it is slow.
-  void see_answer(Server &server) {
+  // Records that a set-up on the server was answered. The first set-up after a server's start waits for a new
+  // connection, which may open late, so that later set-ups would arrive together with it. It is therefore
+  // sent alone, and the slow-start interval counts from its answer or end. A slow first set-up delays the
+  // others.
+  void record_answer(Server &server) {
     if (server.answered_at < server.cold_since)
-      server.last_sent = std::max(server.last_sent, now_ - usual_set_up_);
+      server.last_sent = std::max(server.last_sent, now_ - mean_set_up_time_);
     server.answered_at = now_;
   }
 
-  // A front that came back has no memory: any server may be cold to it until it is seen to carry much.
+  // A front end that has restarted knows nothing of earlier starts of servers: each server may be cold until
+  // a high demand is seen on it or the warm-up time has passed.
   bool may_be_cold(const Server &server) const {
     return now_ - server.cold_since < warm_up_ ||
-           (!handed_over_ && !server.seen_warm && now_ - opened_ < warm_up_);
+           (!was_handed_plays_ && !server.seen_warm && now_ - created_at_ < warm_up_);
   }
 
-  void judge(const Play &play, Outcome outcome) {
-    Server &server = servers_[at(play.server)];
-    bool lost = outcome == Outcome::reset || outcome == Outcome::unreachable;
-    if (lost || (outcome == Outcome::timed_out && play.state == PlayState::allocating)) {
-      server.cold_since = now_; // whatever comes back may be cold
-      if (now_ >= server.avoid_until) strike(server);
+  // Records on the server how an allocation of the play ended, before the play's state changes.
+  void record_outcome(const Play &play, Outcome outcome) {
+    Server &server = servers_[to_size(play.server)];
+    bool is_lost = outcome == Outcome::reset || outcome == Outcome::unreachable;
+    if (is_lost || (outcome == Outcome::timed_out && play.state == PlayState::allocating)) {
+      // A server that returns after this may have been restarted.
+      server.cold_since = now_;
+      if (now_ >= server.avoid_until) record_failure(server);
       return;
     }
-    if (play.state != PlayState::playing) see_answer(server);
-    if (outcome == Outcome::busy) avoid(server, std::max(server.avoid_until, now_ + kFirstAvoid));
+    if (play.state != PlayState::playing) record_answer(server);
+    if (outcome == Outcome::busy) avoid_server(server, std::max(server.avoid_until, now_ + kMinAvoidTime));
   }
 
-  void strike(Server &server) {
-    avoid(server, now_ + std::min(kLongestAvoid, kFirstAvoid * std::exp2(server.strikes)));
-    ++server.strikes;
+  // Avoids the server for a time that doubles with each further failure.
+  void record_failure(Server &server) {
+    avoid_server(server,
+                 now_ + std::min(kMaxAvoidTime, kMinAvoidTime * std::exp2(server.consecutive_failures)));
+    ++server.consecutive_failures;
   }
 
-  // ---- Terms, seats and the budget of further allocations.
-  bool seat_free(const PlayRequest &terms) {
-    double seats = terms.product < static_cast<int>(seats_.size()) ? seats_[at(terms.product)] : 0;
-    return seats <= 0 || seat(terms) < static_cast<int>(seats);
+  // Seats, time limits of allocations, and probes.
+
+  bool has_free_seat(const PlayRequest &request) {
+    double seats = request.product < static_cast<int>(product_seats_.size())
+                       ? product_seats_[to_size(request.product)]
+                       : 0;
+    return seats <= 0 || taken_seats(request) < static_cast<int>(seats);
   }
 
-  int &seat(const PlayRequest &terms) {
-    std::size_t place = at(terms.title) * at(products_) + at(terms.product);
-    if (place >= seats_held_.size()) seats_held_.resize(std::max(place + 1, 2 * seats_held_.size()));
-    return seats_held_[place];
+  // The number of seats that plays of the request's title and product hold.
+  int &taken_seats(const PlayRequest &request) {
+    std::size_t seat_index = to_size(request.title) * to_size(product_count_) + to_size(request.product);
+    if (seat_index >= seats_taken_.size())
+      seats_taken_.resize(std::max(seat_index + 1, 2 * seats_taken_.size()));
+    return seats_taken_[seat_index];
   }
 
-  // Leaves room for another allocation before the first-frame target, unless this is the last.
-  double time_out(const Play &play) const {
-    double limit = play.limit_at - now_;
-    if (!safe_[at(play.terms.product)] || play.allocations >= allowed_) return limit;
-    double target = play.target_at - now_;
-    return std::min(limit, std::max(target / 2, std::min(target, 3 * usual_set_up_)));
+  // Returns the time limit in seconds of the play's next allocation. It leaves time for another allocation
+  // before the first-frame target, unless this is the last one.
+  double allocation_timeout(const Play &play) const {
+    double limit = play.deadline - now_;
+    if (!is_repeatable_[to_size(play.request.product)] || play.allocations >= max_allocations_) return limit;
+    double target = play.first_frame_deadline - now_;
+    return std::min(limit, std::max(target / 2, std::min(target, 3 * mean_set_up_time_)));
   }
 
-  void probe(Server &server) {
-    if (!may_probe_ || now_ - server.probed_at < kProbeRest) return;
+  // Probes the server, unless probes are not allowed or the last one was sent less than kMinProbeInterval
+  // ago.
+  void probe_if_due(Server &server) {
+    if (!may_probe_ || now_ - server.probed_at < kMinProbeInterval) return;
     server.probed_at = now_;
-    answers_.probe_server(index_of(server));
+    handler_.probe_server(index_of(server));
   }
 
-  // ---- Small helpers.
   int index_of(const Server &server) const { return static_cast<int>(&server - servers_.data()); }
-  static std::size_t at(int i) { return static_cast<std::size_t>(i); }
-  int highest(const PlayRequest &terms) const {
-    return std::min({terms.max_rung, static_cast<int>(tops_[at(terms.product)]), rungs() - 1});
-  }
-  int group_of(const Play &play) const { return play.terms.product * rungs() + play.rung; }
-  int rungs() const { return static_cast<int>(rates_.size()); }
-  int lowest(int product) const { return static_cast<int>(floors_[at(product)]); }
-  double rate_of(int product, int rung) const { return rates_[at(rung)] * factors_[at(product)]; }
-  double group_rate(int group) const { return rate_of(group / rungs(), group % rungs()); }
-  double chance() { return static_cast<double>(chance_() - 1) / 2147483646.0; }
-  std::uint64_t hash(const PlayRequest &terms, int s) const {
-    return mix(terms.viewer ^ mix(servers_[at(s)].entry.stable_id));
-  }
-
-  Play &take(int index, const PlayRequest &terms) {
-    if (at(index) >= plays_.size()) plays_.resize(at(index) + 1);
-    Play &play = plays_[at(index)];
+  static std::size_t to_size(int i) { return static_cast<std::size_t>(i); }
+  int highest_rung(const PlayRequest &request) const {
+    return std::min(
+        {request.max_rung, static_cast<int>(product_tops_[to_size(request.product)]), rung_count() - 1});
+  }
+  // A group is a product at a rung; groups are numbered by product, then by rung.
+  int group_of(const Play &play) const { return play.request.product * rung_count() + play.rung; }
+  int rung_count() const { return static_cast<int>(rung_rates_.size()); }
+  int lowest_rung(int product) const { return static_cast<int>(product_floors_[to_size(product)]); }
+  double rate_of(int product, int rung) const {
+    return rung_rates_[to_size(rung)] * product_rate_factors_[to_size(product)];
+  }
+  double group_rate(int group) const { return rate_of(group / rung_count(), group % rung_count()); }
+  // A random number from 0 to below 1; 2147483646 is the largest value of the generator.
+  double random_fraction() { return static_cast<double>(random_() - 1) / 2147483646.0; }
+  // The rendezvous hash of a viewer and a server.
+  std::uint64_t hash(const PlayRequest &request, int s) const {
+    return mix_bits(request.viewer ^ mix_bits(servers_[to_size(s)].entry.stable_id));
+  }
+
+  // Resets the play with this index, for a new request.
+  Play &init_play(int index, const PlayRequest &request) {
+    if (to_size(index) >= plays_.size()) plays_.resize(to_size(index) + 1);
+    Play &play = plays_[to_size(index)];
     play = Play{};
-    play.terms = terms;
+    play.request = request;
     return play;
   }
 
-  void open_link(Link &link) {
-    link.own.assign(at(products_ * rungs()), 0);
-    link.changes.reserve(kChangesKept);
+  void init_link(Link &link) {
+    link.own_plays.assign(to_size(product_count_ * rung_count()), 0);
+    link.changes.reserve(kMaxChanges);
   }
 
-  DecisionSettings given_;
-  DecisionHandler &answers_;
-  std::minstd_rand chance_;
-  double now_, opened_, closes_at_ = INFINITY;
-  std::vector<double> rates_, rung_worth_, factors_, floors_, tops_, seats_, kind_places_, targets_, limits_;
-  std::vector<double> importance_, earning_;
-  std::vector<double> strictness_; // by product and rung, on the logarithm of the tolerance
-  std::vector<bool> safe_;
+  DecisionSettings settings_;
+  DecisionHandler &handler_;
+  std::minstd_rand random_;
+  double now_, created_at_, shutdown_at_ = INFINITY;
+
+  // Settings: by rung, by product or by kind of server.
+  std::vector<double> rung_rates_, rung_importance_, product_rate_factors_, product_floors_, product_tops_,
+      product_seats_, kind_capacities_, first_frame_targets_, time_limits_;
+  std::vector<double> product_importance_;
+  // Importance gained per additional kB per second, by group.
+  std::vector<double> importance_per_rate_;
+  // Factor on the logarithm of the tolerance, by group.
+  std::vector<double> strictness_;
+  // A set-up of the product may be repeated after an allocation that may have run; by product.
+  std::vector<bool> is_repeatable_;
   double longest_retry_after_ = 0;
   SlowStartSettings slow_start_;
-  RetryBudget retries_;
-  double fronts_ = 1, warm_up_ = 0, note_delay_ = 1, usual_set_up_ = kSetUpGuess;
-  int cells_ = 1, products_ = 1, allowed_ = 1;
-  bool uplinks_told_ = false, may_probe_ = false, handed_over_ = false;
-  ServerScanCounts work_;
+  RetryBudget retry_budget_;
+  double front_count_ = 1, warm_up_ = 0, feedback_delay_ = 1, mean_set_up_time_ = kInitialSetUpTime;
+  int cell_count_ = 1, product_count_ = 1, max_allocations_ = 1;
+  // was_handed_plays_: this front end took over plays, so that it did not restart without knowledge.
+  bool uplinks_reported_ = false, may_probe_ = false, was_handed_plays_ = false;
+
+  ServerScanCounts scan_counts_;
   std::vector<Server> servers_;
-  std::vector<Link> racks_;
+  // By rack.
+  std::vector<Link> uplinks_;
   std::vector<Play> plays_;
-  SortedIndices occupied_, departed_;       // servers with plays of ours; known servers that are not listed
-  std::vector<int> at_rack_, forgotten_;    // of the review in hand
-  std::vector<std::vector<int>> listed_in_; // servers, by cell
-  std::vector<int> avoided_;                // servers; some that are not avoided any more
-  std::vector<int> open_;                   // servers that the play in hand may be sent to
-  std::vector<int> seats_held_, waiting_, placing_; // by title and product; plays whose holders were asked
-  std::vector<RateGroup> groups_;
-  double demand_ = 0, own_in_all_ = 0, held_ = 0, link_capacity_ = 0, rack_capacity_ = 0,
-         link_per_weight_ = 0;
-  long double listed_capacity_ = 0, placed_capacity_ = 0, listed_places_ = 0; // sums over listed servers
-  int listed_ = 0;
-  bool by_places_ = false;
-  std::array<Usual, 2> usual_; // of links, of uplinks
-  Pace rush_{kRushOver}, usual_rush_{kUsualOver};
+  // Servers with own plays, and known servers that are not listed.
+  SortedIndices servers_with_plays_, departed_servers_;
+  // Buffers of review().
+  std::vector<int> rack_servers_, servers_to_forget_;
+  // Listed servers by cell.
+  std::vector<std::vector<int>> listed_by_cell_;
+  // All avoided servers, and some whose avoidance has ended.
+  std::vector<int> avoided_servers_;
+  // Servers that the play being placed may be sent to.
+  std::vector<int> candidates_;
+  // Seats taken by title and product; plays that wait for probes; plays whose wait has just ended.
+  std::vector<int> seats_taken_, awaiting_probes_, plays_to_place_;
+  // Result of gather_demand().
+  std::vector<RateGroup> rate_groups_;
+  // gathered_demand_ is the sum over rate_groups_; own_demand_ and own_play_count_ are sums over all own
+  // plays. Rates and capacities are kB per second.
+  double gathered_demand_ = 0, own_demand_ = 0, own_play_count_ = 0, total_link_capacity_ = 0,
+         total_uplink_capacity_ = 0, link_per_weight_ = 0;
+  // Sums over listed servers: of capacities, of the products of capacity and play capacity, and of play
+  // capacities.
+  long double listed_capacity_ = 0, capacity_by_plays_ = 0, listed_play_capacity_ = 0;
+  int listed_count_ = 0;
+  // The capacities of links are scaled by the servers' play capacities, see capacity().
+  bool scales_by_play_capacity_ = false;
+  // Of server links and of uplinks.
+  std::array<MeanDemand, 2> mean_reported_;
+  DecayingRate recent_request_rate_{kRecentRateTime}, usual_request_rate_{kUsualRateTime};
 };
 
 } // namespace
 
-std::unique_ptr<DecisionEngine> make_decision_engine(const DecisionSettings &given, std::uint64_t seed,
-                                                     double now, DecisionHandler &answers) {
-  return std::make_unique<ChernoffFront>(given, seed, now, answers);
+std::unique_ptr<DecisionEngine> make_decision_engine(const DecisionSettings &settings, std::uint64_t seed,
+                                                     double now, DecisionHandler &handler) {
+  return std::make_unique<ChernoffEngine>(settings, seed, now, handler);
 }
 
 } // namespace snowshore
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -25,8 +25,9 @@
   // Returns whether one more retry fits into the budget.
   bool allows(double now) {
     std::erase_if(retries_, [&](double at) { return at < now - settings_.window; });
-    auto taken = std::ranges::count_if(requests_, [&](double at) { return at > now - settings_.window; });
-    double allowed = settings_.free_retries + settings_.retry_share * static_cast<double>(taken);
+    auto recent_requests =
+        std::ranges::count_if(requests_, [&](double at) { return at > now - settings_.window; });
+    double allowed = settings_.free_retries + settings_.retry_share * static_cast<double>(recent_requests);
     return settings_.window <= 0 || static_cast<double>(retries_.size()) + 1 <= allowed;
   }
   void retry_made(double now) { retries_.push_back(now); }
--- a/src/decision/sorted_indices.h
+++ b/src/decision/sorted_indices.h
@@ -9,12 +9,12 @@
 class SortedIndices {
  public:
   void add(int index) {
-    auto at = std::lower_bound(indices_.begin(), indices_.end(), index);
-    if (at == indices_.end() || *at != index) indices_.insert(at, index);
+    auto position = std::lower_bound(indices_.begin(), indices_.end(), index);
+    if (position == indices_.end() || *position != index) indices_.insert(position, index);
   }
   void remove(int index) {
-    auto at = std::lower_bound(indices_.begin(), indices_.end(), index);
-    if (at != indices_.end() && *at == index) indices_.erase(at);
+    auto position = std::lower_bound(indices_.begin(), indices_.end(), index);
+    if (position != indices_.end() && *position == index) indices_.erase(position);
   }
   bool contains(int index) const { return std::binary_search(indices_.begin(), indices_.end(), index); }
   std::size_t size() const { return indices_.size(); }
