--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -21,18 +21,19 @@
  public:
   // Names and values of an event, in the order in which they are written.
   using Fields = std::initializer_list<std::pair<const char *, nlohmann::json>>;
-  // where: a file name, or "-" for standard error. Throws std::runtime_error where the file cannot be opened.
-  explicit Log(const std::string &where, LogLevel level = LogLevel::info);
+  // destination: a file name, or "-" for standard error. Throws std::runtime_error where the file cannot be
+  // opened.
+  explicit Log(const std::string &destination, LogLevel level = LogLevel::info);
   ~Log();
   // Returns whether events of this level are written.
   bool is_enabled(LogLevel level) const { return level >= level_; }
   void set_level(LogLevel level) { level_ = level; }
   // Writes one event, unless its level is below the log's.
-  void write(LogLevel level, const char *event, Fields parts = {});
-  void debug(const char *name, Fields parts = {}) { write(LogLevel::debug, name, parts); }
-  void info(const char *name, Fields parts = {}) { write(LogLevel::info, name, parts); }
-  void warning(const char *name, Fields parts = {}) { write(LogLevel::warning, name, parts); }
-  void error(const char *name, Fields parts = {}) { write(LogLevel::error, name, parts); }
+  void write(LogLevel level, const char *event, Fields fields = {});
+  void debug(const char *event, Fields fields = {}) { write(LogLevel::debug, event, fields); }
+  void info(const char *event, Fields fields = {}) { write(LogLevel::info, event, fields); }
+  void warning(const char *event, Fields fields = {}) { write(LogLevel::warning, event, fields); }
+  void error(const char *event, Fields fields = {}) { write(LogLevel::error, event, fields); }
 
  private:
   std::shared_ptr<spdlog::logger> logger_;
--- a/src/telemetry/loop_clock.h
+++ b/src/telemetry/loop_clock.h
@@ -24,22 +24,27 @@
  public:
   LoopClock()
       : start_(std::chrono::steady_clock::now()),
-        epoch_(std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count()) {}
+        start_epoch_seconds_(
+            std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count()) {}
   // The time of this iteration of the loop; the clock is read at the first call in it.
   double now() {
-    if (stale_) now_ = read_now(), stale_ = false;
+    if (stale_) {
+      now_ = read_now();
+      stale_ = false;
+    }
     return now_;
   }
   // Reads the clock; now() is not affected.
   double read_now() const {
-    return epoch_ + std::chrono::duration<double>(std::chrono::steady_clock::now() - start_).count();
+    return start_epoch_seconds_ +
+           std::chrono::duration<double>(std::chrono::steady_clock::now() - start_).count();
   }
   // Makes the next now() read the clock; called once in each iteration of the loop.
   void invalidate() { stale_ = true; }
 
  private:
   std::chrono::steady_clock::time_point start_;
-  double epoch_, now_ = 0;
+  double start_epoch_seconds_, now_ = 0;
   bool stale_ = true;
 };
 
