--- a/src/platform/boot.h
+++ b/src/platform/boot.h
@@ -51,7 +51,7 @@
 // Returns why `next` cannot replace the configuration in service, or nothing where it can. It cannot where
 // plays in progress, the decision engine or the listener would continue with values other than those of the
 // new file; another order or other names of classes are such a case.
-std::optional<std::string> reload_refusal(const NodeConfig &now, const NodeConfig &next);
+std::optional<std::string> reload_refusal(const NodeConfig &current, const NodeConfig &next);
 // Divides the descriptors and the memory that the platform grants.
 ResourceLimits compute_resource_limits(std::size_t sockets, std::size_t memory_mb);
 
--- a/src/platform/ends.cpp
+++ b/src/platform/ends.cpp
@@ -3,7 +3,7 @@
 
 namespace snowshore::platform {
 
-SetUpEnd end_of(rtsp::EndReason end, const rtsp::Message *message) {
+SetUpOutcome set_up_outcome(rtsp::EndReason end, const rtsp::Message *message) {
   switch (end) {
   case rtsp::EndReason::connection_refused:
   case rtsp::EndReason::connect_failed:
@@ -11,16 +11,19 @@
   case rtsp::EndReason::closed:
   case rtsp::EndReason::reset:
     return {Outcome::reset};
-  case rtsp::EndReason::no_capacity: // never sent, and no fault of the server's
+  // The request was not sent, through no fault of the server.
+  case rtsp::EndReason::no_capacity:
     return {Outcome::skipped};
   case rtsp::EndReason::timed_out:
     return {Outcome::timed_out};
-  case rtsp::EndReason::unreadable: // it ran; the answer was spoilt on its way
+  // The server received the request; its answer was damaged on the way.
+  case rtsp::EndReason::unreadable:
     return {Outcome::error};
   case rtsp::EndReason::answered:
     break;
   }
-  if (!message || message->status == 0) return {Outcome::reset}; // released before its answer
+  // The server released the session before it answered.
+  if (!message || message->status == 0) return {Outcome::reset};
   switch (message->status) {
   case 200:
     return {Outcome::done, true};
@@ -35,28 +38,29 @@
   }
 }
 
-std::optional<int> cause_of(const rtsp::Message &message) {
+std::optional<int> release_cause(const rtsp::Message &message) {
   auto reason = message.find_header("Reason");
   if (!reason) return std::nullopt;
-  std::size_t at = reason->find("cause=");
-  if (at == std::string_view::npos) return std::nullopt;
-  std::string_view digits = reason->substr(at + 6);
+  std::size_t position = reason->find("cause=");
+  if (position == std::string_view::npos) return std::nullopt;
+  std::string_view digits = reason->substr(position + 6);
   digits = digits.substr(0, digits.find_first_not_of("0123456789"));
   auto value = given::parse_number(digits);
   return value && *value < 1000 ? std::optional(static_cast<int>(*value)) : std::nullopt;
 }
 
-Outcome outcome_of_release(int cause) {
+Outcome release_outcome(int cause) {
   if (cause == kCauseEnded) return Outcome::done;
   if (cause == kCauseMoved) return Outcome::recalled;
   return Outcome::reset;
 }
 
-Outcome outcome_of_probe(rtsp::EndReason end, const rtsp::Message *message) {
+Outcome probe_outcome(rtsp::EndReason end, const rtsp::Message *message) {
   if (end == rtsp::EndReason::timed_out) return Outcome::timed_out;
   if (end == rtsp::EndReason::connection_refused || end == rtsp::EndReason::connect_failed)
     return Outcome::unreachable;
-  if (end == rtsp::EndReason::no_capacity) return Outcome::busy; // says nothing of the server
+  // The probe was not sent, which says nothing about the server's state.
+  if (end == rtsp::EndReason::no_capacity) return Outcome::busy;
   if (!message) return Outcome::reset;
   return message->status == 200 ? Outcome::done : message->status == 503 ? Outcome::busy : Outcome::error;
 }
--- a/src/platform/ends.h
+++ b/src/platform/ends.h
@@ -1,25 +1,28 @@
-// What the ends of the platform's protocol mean to the module and to viewers. Pure tables.
+// Maps the results and causes of the platform's protocols to the decision engine's outcomes.
 #pragma once
 #include "decision/policy.h"
 #include "rtsp/peer.h"
 
 namespace snowshore::platform {
 
-// Causes of the protocol page.
+// Cause codes of the platform's protocol: the play ran to its end, continues on another server, was declined,
+// failed; the request was invalid.
 inline constexpr int kCauseEnded = 16, kCauseMoved = 31, kCauseDeclined = 34, kCauseFailed = 41,
                      kCauseBadRequest = 100;
 
-// How a set-up ended; started: its answer makes the play stand.
-struct SetUpEnd {
+// The outcome of a set-up. started: the server's answer says that the play runs.
+struct SetUpOutcome {
   Outcome outcome = Outcome::error;
   bool started = false;
 };
-SetUpEnd end_of(rtsp::EndReason end, const rtsp::Message *message);
+// message: the server's answer, or its release of the session before any answer (status 0); may be null.
+SetUpOutcome set_up_outcome(rtsp::EndReason end, const rtsp::Message *message);
 
-// The cause in a release's Reason; nothing where there is none that can be read.
-std::optional<int> cause_of(const rtsp::Message &message);
-// A server's release of a play that stands.
-Outcome outcome_of_release(int cause);
-Outcome outcome_of_probe(rtsp::EndReason end, const rtsp::Message *message);
+// Returns the cause code in the Reason header of a release, or nothing where there is no valid one.
+std::optional<int> release_cause(const rtsp::Message &message);
+// The outcome of a running play that its server has released with this cause.
+Outcome release_outcome(int cause);
+// The outcome of a probe; message: the server's answer, or null.
+Outcome probe_outcome(rtsp::EndReason end, const rtsp::Message *message);
 
 } // namespace snowshore::platform
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -1,5 +1,5 @@
-// One front on the platform: the core between the viewers' and the servers' door, with the command channel as
-// its list source. One executor, one thread.
+// The front end on the platform: the core between the gateways to viewers and to media servers, with the
+// command channel as its list source. Everything runs on one executor and one thread.
 #pragma once
 #include "decision/drain_budget.h"
 #include "feed/client.h"
@@ -14,38 +14,45 @@
 
 class PlatformFront {
  public:
-  PlatformFront(asio::io_context &io, NodeConfig boot, telemetry::Log &log); // throws std::system_error
+  // Binds the listening address and starts to serve. Throws std::system_error.
+  PlatformFront(asio::io_context &io, NodeConfig config, telemetry::Log &log);
   ~PlatformFront();
   edge::Core &core() { return core_; }
   ViewerGateway &viewers() { return viewers_; }
   RtspServerGateway &servers() { return servers_; }
 
-  // Servers looked at so far, whatever for: cost that must not grow with the list.
-  struct Work {
+  // Numbers of servers that loops have looked at since the start, by purpose: list updates, placements, and
+  // periodic work. They measure costs that must not grow with the length of the list.
+  struct ServerScans {
     std::uint64_t for_lists = 0, for_placements = 0, idle = 0;
   };
-  Work work();
+  ServerScans server_scans();
 
-  // The file as it is now, in place of the last; why it can't be taken (then nothing has changed).
-  std::optional<std::string> change(NodeConfig next);
-  // The planned end: goes on serving while requests may still come, then answers what it has and is done.
+  // Replaces the configuration by the changed one. Returns the reason where that is not possible; then
+  // nothing has changed.
+  std::optional<std::string> reload(NodeConfig next);
+  // Shuts down in an orderly way: serves new requests while they may still arrive, then declines them and
+  // answers the pending ones. Calls `done` on the executor at the end.
   void drain(std::function<void()> done);
 
  private:
-  void look_drained(double until);
-  void finish();
-  void report();
+  // Waits until nothing is left to be sent to anybody, at most until this time of the steady clock.
+  void wait_until_drained(double until);
+  void finish_drain();
+  void schedule_summary();
 
   asio::io_context &io_;
-  NodeConfig boot_;
+  NodeConfig config_;
   telemetry::Log &log_;
   ViewerGateway viewers_;
   RtspServerGateway servers_;
+  // Owned by core_.
   feed::Client *channel_;
   edge::Core core_;
-  asio::steady_timer drain_timer_, report_timer_;
-  std::function<void()> drained_;
-  double drain_began_ = 0; // of the steady clock
+  asio::steady_timer drain_timer_, summary_timer_;
+  std::function<void()> on_drained_;
+  // Time of the steady clock.
+  double drain_started_at_ = 0;
   DrainBudget budget_;
 };
 
--- a/src/platform/liveness.cpp
+++ b/src/platform/liveness.cpp
@@ -6,7 +6,7 @@
 
 void Liveness::data_received(double now) {
   data_received_at_ = now;
-  failed_ = 0;
+  failed_connects_ = 0;
   refused_since_ = -1;
   refused_again_ = false;
 }
@@ -18,28 +18,30 @@
     refused_again_ = true;
 }
 
-void Liveness::connection_timed_out(double) { ++failed_; }
+void Liveness::connection_timed_out(double) { ++failed_connects_; }
 
 void Liveness::session_message_received(double now, double session_started) {
   session_message_at_ = now;
   if (connection_lost_at_ >= 0 && session_started < connection_lost_at_)
-    connection_lost_at_ = -1; // it knows what stood before
+    // The process that sends this message knows a session from before the loss, so it was not restarted.
+    connection_lost_at_ = -1;
 }
 
-// Only a server that spoke regularly can be found out by its silence. A second break while one is open may
-// have taken a word along: the silence counts from it, as long as the protocol's 8 s allow that.
+// The silence after a loss is evidence only where the server sent messages regularly before. A second loss
+// before the verdict may have taken a message with it, so the silence counts from the second one, as long as
+// the protocol's limit of 8 s allows that.
 void Liveness::connection_lost(double now) {
   if (settings_->message_interval <= 0) return;
-  double silence = conclusive_silence();
+  double silence_limit = conclusive_silence();
   if (connection_lost_at_ < 0) {
-    if (now - session_message_at_ > silence) return;
+    if (now - session_message_at_ > silence_limit) return;
     connection_lost_at_ = silent_since_ = now;
-  } else if (now - connection_lost_at_ + silence < settings_->max_silence) {
+  } else if (now - connection_lost_at_ + silence_limit < settings_->max_silence) {
     silent_since_ = now;
   }
 }
 
-// Notes may be late by some of the time that the settings name; the protocol's 8 s bound it.
+// Messages may come later than the interval in the settings; the protocol's limit of 8 s bounds the silence.
 double Liveness::conclusive_silence() const {
   return std::min(settings_->silent_intervals * settings_->message_interval + settings_->max_message_delay,
                   settings_->max_silence);
@@ -47,20 +49,21 @@
 
 void Liveness::clear_connection_loss() { connection_lost_at_ = -1; }
 
-Liveness::Verdict Liveness::evaluate(double now, bool connected, bool may_ask) {
-  if (data_received_at_ < 0) data_received_at_ = now; // watched from now on
+Liveness::Verdict Liveness::evaluate(double now, bool connected, bool may_connect) {
+  // The first check starts the observation.
+  if (data_received_at_ < 0) data_received_at_ = now;
   if (refused_again_ && !connected) return Verdict::lost;
-  double quiet = now - data_received_at_;
-  double silence = conclusive_silence();
-  if (connection_lost_at_ >= 0 && connected && now - silent_since_ > silence) return Verdict::restarted;
-  if (quiet > settings_->lost_after && failed_ >= 2) return Verdict::lost;
-  if (!may_ask) {
-    double speaks_by =
+  double silence = now - data_received_at_;
+  double silence_limit = conclusive_silence();
+  if (connection_lost_at_ >= 0 && connected && now - silent_since_ > silence_limit) return Verdict::restarted;
+  if (silence > settings_->lost_after && failed_connects_ >= 2) return Verdict::lost;
+  if (!may_connect) {
+    double longest_silence =
         std::max(settings_->lost_after, std::min(1.5 * settings_->message_interval, settings_->max_silence));
-    return !connected || quiet > speaks_by ? Verdict::lost : Verdict::alive;
+    return !connected || silence > longest_silence ? Verdict::lost : Verdict::alive;
   }
-  bool due = quiet > settings_->probe_after || !connected;
-  if (due && now - probed_at_ >= (connected ? settings_->probe_interval : settings_->refusal_spacing)) {
+  bool probe_due = silence > settings_->probe_after || !connected;
+  if (probe_due && now - probed_at_ >= (connected ? settings_->probe_interval : settings_->refusal_spacing)) {
     probed_at_ = now;
     return Verdict::probe;
   }
--- a/src/platform/liveness.h
+++ b/src/platform/liveness.h
@@ -28,7 +28,7 @@
 
 class Liveness {
  public:
-  // ask: one more connection is to be opened. lost: all plays on the server are over. restarted: those that
+  // probe: one more connection is to be opened. lost: all plays on the server are over. restarted: those that
   // were set up before connection_lost_at() are over.
   enum class Verdict { alive, probe, lost, restarted };
   explicit Liveness(const LivenessSettings &settings) : settings_(&settings) {}
@@ -45,10 +45,10 @@
   // The verdict on that loss was carried out, or cannot be.
   void clear_connection_loss();
   double connection_lost_at() const { return connection_lost_at_; }
-  // connected: at least one connection to the server is established. may_ask: the address still belongs to
-  // the server; where it does not, only silence beyond the time of its next message is evidence. A returned
-  // Verdict::probe counts as a connection that was requested.
-  Verdict evaluate(double now, bool connected, bool may_ask = true);
+  // connected: at least one connection to the server is established. may_connect: the address still belongs
+  // to the server; where it does not, only silence beyond the time of its next message is evidence. A
+  // returned Verdict::probe counts as a connection that was requested.
+  Verdict evaluate(double now, bool connected, bool may_connect = true);
   // Seconds since data was last received.
   double silence(double now) const { return now - data_received_at_; }
 
@@ -56,10 +56,13 @@
   // The silence, in seconds, after which a server that should send messages is lost.
   double conclusive_silence() const;
   const LivenessSettings *settings_;
+  // refused_since_: time of the first refusal since data was last received; below 0 where there was none.
   double data_received_at_ = -1e9, probed_at_ = -1e9, refused_since_ = -1;
-  // Below 0 where no connection loss is undecided.
+  // connection_lost_at_ is below 0 where no connection loss is undecided. silent_since_: time of the latest
+  // loss, from which the silence counts.
   double session_message_at_ = -1e9, connection_lost_at_ = -1, silent_since_ = -1;
-  int failed_ = 0;
+  // Connection attempts that timed out since data was last received.
+  int failed_connects_ = 0;
   bool refused_again_ = false;
 };
 
--- a/src/platform/servers.h
+++ b/src/platform/servers.h
@@ -24,7 +24,7 @@
                   lost_gone = 0, closed_for_budget = 0, servers_scanned = 0;
     // Results of set-ups, by Outcome.
     std::array<std::uint64_t, 8> outcomes{};
-    // Ends of connections, by rtsp::End.
+    // Ends of connections, by rtsp::EndReason.
     std::array<std::uint64_t, std::size(rtsp::kEndReasonNames)> disconnects{};
   };
   RtspServerGateway(asio::io_context &io, const NodeConfig &config, telemetry::Log &log,
@@ -52,10 +52,10 @@
   void log_server_statistics();
 
   void start_set_up(int play, const edge::Allocation &allocation) override;
-  void cancel_set_up(int play, std::string_view why) override;
+  void cancel_set_up(int play, std::string_view reason) override;
   void play_handed_over(int play) override;
   void change_rung(int play, int rung) override;
-  void end_play(int play, std::string_view why) override;
+  void end_play(int play, std::string_view reason) override;
   void probe_server(int server) override;
   void update_server(int server, const edge::ListedServer &entry) override;
   void forget_server(int server) override;
@@ -95,19 +95,23 @@
   void count_listed(bool before, bool after);
   // The server's peer, which is made where there is none; null for a server that has left.
   rtsp::Peer *peer_of(int server);
+  // Makes the server's peer; the peer opens connections when it needs them.
   void open_connection(int server);
   void close_peer(int server);
-  void check_server(int server, bool stood_still);
+  // was_stalled: this process did not run for a while, so that the server's silence proves nothing.
+  void check_server(int server, bool was_stalled);
   void set_up_ended(int server, std::uint64_t session, rtsp::EndReason end, const rtsp::Message *message,
-                    double took);
+                    double duration);
   void request_received(int server, std::uint64_t session, const rtsp::Message &message);
   void connection_ended(int server, rtsp::EndReason end, bool last);
   // Ends the plays that were set up on the server before this time, and increments the counter where there
-
   // are any.
-  void server_lost(int server, const char *why, std::uint64_t &counter, double before = 1e18);
+  void server_lost(int server, const char *reason, std::uint64_t &counter, double before = 1e18);
   LoadReport load_report_of(const rtsp::Message &message);
+  // Schedules the next check of all servers that hold plays or have a peer.
   void check_servers();
+  // Closes an idle connection to some server, so that another can be opened. Returns false where none can be
+  // closed.
   bool close_connection_for_budget();
   std::size_t plays_at(int server) const { return core_->plays().playing_at(server).size(); }
 
@@ -116,9 +120,9 @@
   telemetry::Log &log_;
   ViewerGateway &viewers_;
   edge::Core *core_ = nullptr;
-  rtsp::Timeouts times_;
+  rtsp::Timeouts timeouts_;
   rtsp::Limits limits_;
-  LivenessSettings liveness_terms_;
+  LivenessSettings liveness_settings_;
   rtsp::PeerCounters peer_counters_;
   Counters counters_;
   // By server.
@@ -129,7 +133,8 @@
   std::uint64_t next_serial_ = 1;
   // Number of servers that have not left.
   std::size_t listed_count_ = 0;
-  double checked_at_ = 0;
+  // Time of the last run of check_servers(), on the core's clock.
+  double last_check_at_ = 0;
   bool draining_ = false;
   asio::steady_timer check_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -9,19 +9,24 @@
 
 namespace {
 
-constexpr double kAnnounceWithin = 8; // the protocol's bound on what could not be said at once
-constexpr std::size_t kMostLater = 4096, kMostSaid = 256;
-constexpr double kMayBeUnheard = 1;      // seconds, between a line written and the end of its connection
-constexpr std::size_t kSetUpHead = 1024; // of a set-up towards a server, without its description
+// The protocol's limit for lines that could not be sent at once.
+constexpr double kDeferredLineLifetime = 8;
+constexpr std::size_t kMaxDeferredLines = 4096, kMaxUnconfirmedEnds = 256;
+// Where a connection ends within this time of a line's sending, in seconds, the viewer may not have received
+// the line.
+constexpr double kUnconfirmedWindow = 1;
+// Size of a set-up request to a server without the description.
+constexpr std::size_t kSetUpHeaderBytes = 1024;
 
-// A name:value figure of extras, as a whole number within bounds.
-std::optional<int> figure(std::string_view text, int least, int most) {
+// Parses an integer within the bounds, both included.
+std::optional<int> parse_bounded_int(std::string_view text, int min, int max) {
   auto value = given::parse_number(text);
-  if (!value || *value < least || *value > most || *value != std::floor(*value)) return std::nullopt;
+  if (!value || *value < min || *value > max || *value != std::floor(*value)) return std::nullopt;
   return static_cast<int>(*value);
 }
 
-std::string_view extra(std::string_view extras, std::string_view name) {
+// Returns the value of the last name:value part with this name, or an empty text.
+std::string_view find_extra(std::string_view extras, std::string_view name) {
   std::string_view found;
   given::for_each_part(extras, ';', [&](std::string_view part) {
     if (part.size() > name.size() && part.starts_with(name) && part[name.size()] == ':')
@@ -32,8 +37,8 @@
 
 } // namespace
 
-ViewerGateway::ViewerGateway(asio::io_context &io, const NodeConfig &boot, telemetry::Log &log)
-    : io_(io), config_(boot), log_(log) {}
+ViewerGateway::ViewerGateway(asio::io_context &io, const NodeConfig &config, telemetry::Log &log)
+    : io_(io), config_(config), log_(log) {}
 
 jsonlines::Limits ViewerGateway::limits() const {
   jsonlines::Limits limits;
@@ -47,7 +52,7 @@
 void ViewerGateway::listen() {
   jsonlines::Server::Events events;
   events.on_line = [this](Connection from, std::string_view line) { on_line(from, line); };
-  events.on_closed = [this](Connection which, const char *why) { on_closed(which, why); };
+  events.on_closed = [this](Connection connection, const char *why) { on_closed(connection, why); };
   server_ = std::make_unique<jsonlines::Server>(io_, config_.listen, limits(), std::move(events));
 }
 
@@ -59,91 +64,100 @@
 void ViewerGateway::on_line(Connection from, std::string_view line) {
   if (log_.is_enabled(telemetry::LogLevel::debug))
     log_.debug("viewer_line", {{"from", from}, {"line", std::string(line.substr(0, 400))}});
-  jsonlines::ParseError fault;
-  auto message = jsonlines::parse_message(line, fault);
+  jsonlines::ParseError error;
+  auto message = jsonlines::parse_message(line, error);
   if (!message) {
     ++counters_.unreadable;
-    if (fault.tag && core_->plays().find(*fault.tag) < 0)
-      return refuse_request(from, *fault.tag, fault.reason);
-    return reject_line(from, fault.reason);
+    if (error.tag && core_->plays().find(*error.tag) < 0)
+      return refuse_request(from, *error.tag, error.reason);
+    return reject_line(from, error.reason);
   }
   const std::string &verb = message->verb;
-  if (verb == "START") return start(from, *message);
-  if (verb == "FINISH") return finish(from, *message);
+  if (verb == "START") return handle_start(from, *message);
+  if (verb == "FINISH") return handle_finish(from, *message);
   if (verb == "ECHO") {
     ++counters_.tests;
     server_->send(from, jsonlines::write_echoed(message->tag, core_->has_list() && !draining_));
     return send_deferred_lines();
   }
   if (verb == "FINISHED")
-    std::erase_if(unconfirmed_ends_, [&](const UnconfirmedEnd &one) { return one.tag == message->tag; });
+    std::erase_if(unconfirmed_ends_, [&](const UnconfirmedEnd &end) { return end.tag == message->tag; });
   if (verb == "FINISHED" || verb == "PENDING" || verb == "ECHOED" || verb == "NOTICE") return;
   if (core_->plays().find(message->tag) < 0)
-    return refuse_request(from, message->tag, "verb: none that a viewer says");
-  reject_line(from, "verb: none that a viewer says");
+    return refuse_request(from, message->tag, "verb: not one that a viewer sends");
+  reject_line(from, "verb: not one that a viewer sends");
 }
 
-std::optional<PlayRequest> ViewerGateway::parse_play_request(const jsonlines::Message &message, bool stands,
-                                                             std::string &why) const {
-  auto bad_term = [&](const char *text) {
+std::optional<PlayRequest> ViewerGateway::parse_play_request(const jsonlines::Message &message,
+                                                             bool already_running, std::string &why) const {
+  auto invalid = [&](const char *text) {
     why = text;
     return std::nullopt;
   };
   auto text = [&](const char *name) {
     return message.find_option(name) ? std::string_view(*message.find_option(name)) : "";
   };
-  PlayRequest terms;
+  PlayRequest request;
   auto product = std::ranges::find(config_.core.products, text("class"), &edge::CoreProduct::name);
-  if (product == config_.core.products.end()) return bad_term("class: none of the settings'");
-  terms.product = static_cast<int>(product - config_.core.products.begin());
+  if (product == config_.core.products.end()) return invalid("class: not in the settings");
+  request.product = static_cast<int>(product - config_.core.products.begin());
   auto left = given::parse_number(text("left"));
-  if (!left && !text("left").empty()) return bad_term("left: milliseconds are due");
-  // One that stands already says how long it may go on.
-  double most = stands ? 1e12 : product->time_limit * 1000 + 1;
-  if (left && (*left <= 0 || *left > most)) return bad_term("left: out of range");
-  if (left) terms.time_left = *left / 1000;
-  if (!jsonlines::parse_hex16(text("key"))) return bad_term("key: 16 hex digits are due");
+  if (!left && !text("left").empty()) return invalid("left: must be a number of milliseconds");
+  // For a running play the value is the rest of the play and has no upper limit.
+  double max = already_running ? 1e12 : product->time_limit * 1000 + 1;
+  if (left && (*left <= 0 || *left > max)) return invalid("left: out of range");
+  if (left) request.time_left = *left / 1000;
+  if (!jsonlines::parse_hex16(text("key"))) return invalid("key: must be 16 hex digits");
   std::string_view extras = text("extras");
-  auto home = figure(extra(extras, "home"), 0, config_.cells - 1),
-       copies = figure(extra(extras, "copies"), 1, config_.cells),
-       top = figure(extra(extras, "top"), 0, config_.rungs - 1);
-  if (!home || !copies || !top) return bad_term("extras: home, copies and top within the settings are due");
-  auto viewer = jsonlines::parse_hex16(extra(extras, "viewer"));
-  if (!viewer) return bad_term("extras: a viewer of 16 hex digits is due");
-  terms.first_cell = *home, terms.cell_count = *copies, terms.max_rung = *top, terms.viewer = *viewer;
-  if (auto hint = given::parse_number(text("hint")); hint && *hint > 0) terms.duration_hint = *hint;
-  terms.is_repeated = extra(extras, "again") == "1";
-  terms.is_moved = extra(extras, "moved") == "1";
-  if (!message.description) return bad_term("blob: a description is due");
-  if (message.description->size() + kSetUpHead > jsonlines::kMaxLineBytes)
-    return bad_term("blob: too long for a server");
-  return terms;
+  auto first_cell = parse_bounded_int(find_extra(extras, "home"), 0, config_.cells - 1),
+       cell_count = parse_bounded_int(find_extra(extras, "copies"), 1, config_.cells),
+       max_rung = parse_bounded_int(find_extra(extras, "top"), 0, config_.rungs - 1);
+  if (!first_cell || !cell_count || !max_rung)
+    return invalid("extras: home, copies and top must be within the limits of the settings");
+  auto viewer = jsonlines::parse_hex16(find_extra(extras, "viewer"));
+  if (!viewer) return invalid("extras: viewer must be 16 hex digits");
+  request.first_cell = *first_cell;
+  request.cell_count = *cell_count;
+  request.max_rung = *max_rung;
+  request.viewer = *viewer;
+  if (auto hint = given::parse_number(text("hint")); hint && *hint > 0) request.duration_hint = *hint;
+  request.is_repeated = find_extra(extras, "again") == "1";
+  request.is_moved = find_extra(extras, "moved") == "1";
+  if (!message.description) return invalid("blob: the description is missing");
+  if (message.description->size() + kSetUpHeaderBytes > jsonlines::kMaxLineBytes)
+    return invalid("blob: too long for a request to a server");
+  return request;
 }
 
-void ViewerGateway::start(Connection from, const jsonlines::Message &message) {
-  std::string_view at; // it stands there already
-  if (const std::string *extras = message.find_option("extras")) at = extra(*extras, "at");
+void ViewerGateway::handle_start(Connection from, const jsonlines::Message &message) {
+  // The server that already serves the play, where the viewer hands it over; else empty.
+  std::string_view handover_server;
+  if (const std::string *extras = message.find_option("extras")) handover_server = find_extra(*extras, "at");
   std::string why;
-  auto terms = parse_play_request(message, !at.empty(), why);
-  int held = core_->plays().find(message.tag);
-  if (held >= 0) {
-    if (!at.empty()) return; // it names what is held already
-    // Sent once more on a new connection after its own broke: the answer goes there. Else it is another's id.
-    PendingPlay &door = pending_play(held);
-    bool same = terms && door.open && door.connection != from && door.description == *message.description &&
-                core_->title_of(held) == *message.find_option("key");
-    if (!same) return reject_line(from, "tag: a play in hand has it");
+  auto request = parse_play_request(message, !handover_server.empty(), why);
+  int play = core_->plays().find(message.tag);
+  if (play >= 0) {
+    // The play was handed over before.
+    if (!handover_server.empty()) return;
+    // A viewer whose connection broke repeats its request on a new one; the answer goes there. Any other
+    // request with this tag uses the id of another play.
+    PendingPlay &pending = pending_play(play);
+    bool is_repeat = request && pending.open && pending.connection != from &&
+                     pending.description == *message.description &&
+                     core_->title_of(play) == *message.find_option("key");
+    if (!is_repeat) return reject_line(from, "tag: in use by another play");
     ++counters_.moved_over;
-    server_->add_open_requests(door.connection, -1);
-    door.connection = from;
+    server_->add_open_requests(pending.connection, -1);
+    pending.connection = from;
     return server_->add_open_requests(from, 1);
   }
-  if (!terms) return refuse_request(from, message.tag, why);
+  if (!request) return refuse_request(from, message.tag, why);
   const std::string &title = *message.find_option("key");
-  if (!at.empty()) {
+  if (!handover_server.empty()) {
     ++counters_.handed_over;
-    auto ref = core_->accept_handover(message.tag, title, std::string(at), *terms);
-    if (!ref) { // its server has gone from the list: the play is over
+    auto ref = core_->accept_handover(message.tag, title, std::string(handover_server), *request);
+    // Its server is no longer on the list, so the play is over.
+    if (!ref) {
       ++counters_.refused_bad;
       server_->send(from, jsonlines::write_finish(message.tag, kCauseFailed));
       return;
@@ -163,53 +177,56 @@
   pending_play(ref.index) = {from, *message.description, true};
   description_bytes_ += message.description->size();
   server_->add_open_requests(from, 1);
-  core_->submit_play(ref.index, *terms);
+  core_->submit_play(ref.index, *request);
   send_deferred_lines();
 }
 
-void ViewerGateway::finish(Connection from, const jsonlines::Message &message) {
-  int held = core_->plays().find(message.tag);
-  if (held < 0) { // over already, or never heard of: heard, and a connection without anything good goes
+void ViewerGateway::handle_finish(Connection from, const jsonlines::Message &message) {
+  int play = core_->plays().find(message.tag);
+  // The play is over or unknown. The request is confirmed; a connection without any valid request is closed.
+  if (play < 0) {
     ++counters_.unknown_plays;
     server_->send(from, jsonlines::write_finished(message.tag));
     if (server_->open_requests(from) == 0 && !server_->is_trusted(from)) server_->close_after_sending(from);
     return;
   }
-  PendingPlay &door = pending_play(held);
-  if (door.open && door.connection != from)
-    return reject_line(from, "tag: another connection's set-up has it");
+  PendingPlay &pending = pending_play(play);
+  if (pending.open && pending.connection != from)
+    return reject_line(from, "tag: in use by a set-up of another connection");
   server_->send(from, jsonlines::write_finished(message.tag));
-  if (door.open) {
+  if (pending.open) {
     ++counters_.left;
-    return core_->player_left(held);
+    return core_->player_left(play);
   }
   ++counters_.released;
-  core_->play_released(held);
+  core_->play_released(play);
 }
 
-void ViewerGateway::on_closed(Connection which, const char *why) {
-  std::vector<int> open; // given up with their connection
+void ViewerGateway::on_closed(Connection connection, const char *why) {
+  // Requests that have no answer yet end with their connection.
+  std::vector<int> open_plays;
   for (std::size_t play = 0; play < pending_plays_.size(); ++play) {
-    if (pending_plays_[play].open && pending_plays_[play].connection == which)
-      open.push_back(static_cast<int>(play));
+    if (pending_plays_[play].open && pending_plays_[play].connection == connection)
+      open_plays.push_back(static_cast<int>(play));
   }
-  if (!open.empty())
-    log_.info("connection_ended", {{"connection", which}, {"cause", why}, {"requests", open.size()}});
-  for (int play : open) {
+  if (!open_plays.empty())
+    log_.info("connection_ended",
+              {{"connection", connection}, {"cause", why}, {"requests", open_plays.size()}});
+  for (int play : open_plays) {
     ++counters_.left;
     if (pending_play(play).open) core_->player_left(play);
   }
-  // Ends said on it a moment ago and not confirmed may not have been heard.
-  std::vector<UnconfirmedEnd> unheard;
-  double since = core_->clock().now() - kMayBeUnheard;
-  std::erase_if(unconfirmed_ends_, [&](UnconfirmedEnd &one) {
-    if (one.to != which) return false;
-    if (one.at >= since) unheard.push_back(std::move(one));
+  // Ends that were sent just before and are not confirmed may not have arrived, so they are sent again.
+  std::vector<UnconfirmedEnd> to_repeat;
+  double oldest_repeated = core_->clock().now() - kUnconfirmedWindow;
+  std::erase_if(unconfirmed_ends_, [&](UnconfirmedEnd &end) {
+    if (end.connection != connection) return false;
+    if (end.sent_at >= oldest_repeated) to_repeat.push_back(std::move(end));
     return true;
   });
-  for (UnconfirmedEnd &one : unheard) {
+  for (UnconfirmedEnd &end : to_repeat) {
     ++counters_.announced_again;
-    announce(which, one.tag, std::move(one.line));
+    announce(connection, end.tag, std::move(end.line));
   }
 }
 
@@ -224,28 +241,28 @@
   ++counters_.refused_bad;
   if (log_.is_enabled(telemetry::LogLevel::debug))
     log_.debug("bad_viewer", {{"cause", why}, {"held", server_->open_requests(from)}});
-  // One bad line does not cost the plays of a good connection their answers: it goes once they have them.
+  // A trusted connection with pending requests is closed only after their answers have been sent.
   if (server_->is_trusted(from) && server_->open_requests(from) > 0)
     return server_->close_after_open_requests(from);
   server_->close_after_turn(from);
 }
 
-// The one answer of a play.
 void ViewerGateway::send_answer(int play, std::string line) {
-  PendingPlay &door = pending_play(play);
-  if (!door.open) return;
-  door.open = false;
-  description_bytes_ -= door.description.size();
-  door.description.clear();
-  door.description.shrink_to_fit();
-  server_->add_open_requests(door.connection, -1);
-  if (!line.empty()) server_->send(door.connection, std::move(line));
+  PendingPlay &pending = pending_play(play);
+  if (!pending.open) return;
+  pending.open = false;
+  description_bytes_ -= pending.description.size();
+  pending.description.clear();
+  pending.description.shrink_to_fit();
+  server_->add_open_requests(pending.connection, -1);
+  if (!line.empty()) server_->send(pending.connection, std::move(line));
 }
 
 void ViewerGateway::send_set_up_result(int play, const edge::SetUpResult &result) {
   server_->mark_trusted(pending_play(play).connection);
   send_answer(play, jsonlines::write_started(tag(play), result.description));
-  send_deferred_lines(); // it may be the first good connection again
+  // This connection may be the first trusted one since the lines were deferred.
+  send_deferred_lines();
 }
 
 std::string ViewerGateway::decline_line(std::uint64_t tag, double retry_after) const {
@@ -266,7 +283,8 @@
 void ViewerGateway::send_move(int play) { announce(play, jsonlines::write_move(tag(play))); }
 
 void ViewerGateway::send_end(int play, Outcome outcome) {
-  if (outcome == Outcome::recalled) return; // moved, or ended by its viewer: it is owed nothing
+  // The play was moved or ended by its viewer, who needs no message.
+  if (outcome == Outcome::recalled) return;
   announce(play, jsonlines::write_finish(tag(play), outcome == Outcome::done ? kCauseEnded : kCauseFailed));
 }
 
@@ -276,21 +294,20 @@
   announce(pending_play(play).connection, tag(play), std::move(line));
 }
 
-// On the play's own connection, on any good one, or on the next that comes.
 void ViewerGateway::announce(Connection to, std::uint64_t tag, std::string line) {
   double now = core_->clock().now();
-  while (!unconfirmed_ends_.empty() &&
-         (unconfirmed_ends_.front().at < now - kMayBeUnheard || unconfirmed_ends_.size() >= kMostSaid))
+  while (!unconfirmed_ends_.empty() && (unconfirmed_ends_.front().sent_at < now - kUnconfirmedWindow ||
+                                        unconfirmed_ends_.size() >= kMaxUnconfirmedEnds))
     unconfirmed_ends_.pop_front();
-  auto other = server_->latest_trusted();
-  for (auto on : {std::optional(to), other}) {
-    if (!on || !server_->send(*on, line)) continue;
-    unconfirmed_ends_.push_back({*on, tag, std::move(line), now});
+  auto latest_trusted = server_->latest_trusted();
+  for (auto connection : {std::optional(to), latest_trusted}) {
+    if (!connection || !server_->send(*connection, line)) continue;
+    unconfirmed_ends_.push_back({*connection, tag, std::move(line), now});
     return;
   }
   ++counters_.announced_later;
-  if (deferred_lines_.size() >= kMostLater) deferred_lines_.pop_front();
-  deferred_lines_.push_back({std::move(line), now + kAnnounceWithin});
+  if (deferred_lines_.size() >= kMaxDeferredLines) deferred_lines_.pop_front();
+  deferred_lines_.push_back({std::move(line), now + kDeferredLineLifetime});
 }
 
 void ViewerGateway::send_deferred_lines() {
@@ -299,12 +316,13 @@
     if (!to) return;
     DeferredLine next = std::move(deferred_lines_.front());
     deferred_lines_.pop_front();
-    if (next.until >= core_->clock().now()) server_->send(*to, std::move(next.line));
+    if (next.expires_at >= core_->clock().now()) server_->send(*to, std::move(next.line));
   }
 }
 
 void ViewerGateway::forget_play(int play) {
-  send_answer(play, {}); // of one whose viewer left
+  // Clears the request of a viewer that has left.
+  send_answer(play, {});
   pending_play(play) = {};
 }
 
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -67,14 +67,14 @@
   // A line that waits for a connection.
   struct DeferredLine {
     std::string line;
-    double until;
+    double expires_at;
   };
   // An end that was sent and that its viewer has not confirmed; a viewer need not confirm it.
   struct UnconfirmedEnd {
-    Connection to;
+    Connection connection;
     std::uint64_t tag;
     std::string line;
-    double at;
+    double sent_at;
   };
   PendingPlay &pending_play(int play) {
     if (static_cast<std::size_t>(play) >= pending_plays_.size())
@@ -83,18 +83,25 @@
   }
   jsonlines::Limits limits() const;
   void on_line(Connection from, std::string_view line);
-  void on_closed(Connection which, const char *why);
-  void start(Connection from, const jsonlines::Message &message);
-  void finish(Connection from, const jsonlines::Message &message);
-  // Returns the request, or nothing with the reason in `why`. stands: the play already runs.
-  std::optional<PlayRequest> parse_play_request(const jsonlines::Message &message, bool stands,
+  void on_closed(Connection connection, const char *why);
+  // Handles START: a new play, a repeated request, or the handover of a running play.
+  void handle_start(Connection from, const jsonlines::Message &message);
+  // Handles FINISH: the viewer gives up its request or ends its play.
+  void handle_finish(Connection from, const jsonlines::Message &message);
+  // Returns the request, or nothing with the reason in `why`. already_running: the viewer hands over
+  // a play that some server already serves.
+  std::optional<PlayRequest> parse_play_request(const jsonlines::Message &message, bool already_running,
                                                 std::string &why) const;
   // Answers an invalid request.
   void refuse_request(Connection to, std::uint64_t tag, const std::string &why);
-  // Counts and logs a line that cannot be answered.
+  // Counts and logs a line that cannot be answered, and has the connection closed.
   void reject_line(Connection from, const std::string &why);
+  // retry_after: seconds.
   std::string decline_line(std::uint64_t tag, double retry_after) const;
+  // Sends the only answer to the play's set-up; an empty line ends the wait without an answer.
   void send_answer(int play, std::string line);
+  // Sends a line about a running play on its own connection, on another trusted connection, or on the next
+  // trusted one that there is.
   void announce(int play, std::string line);
   void announce(Connection to, std::uint64_t tag, std::string line);
   void send_deferred_lines();
@@ -108,6 +115,7 @@
   std::vector<PendingPlay> pending_plays_;
   std::deque<DeferredLine> deferred_lines_;
   std::deque<UnconfirmedEnd> unconfirmed_ends_;
+  // Bytes of the descriptions in pending_plays_.
   std::size_t description_bytes_ = 0;
   Counters counters_;
   bool draining_ = false, stopped_accepting_ = false;
--- a/tests/platform/test_endings.cpp
+++ b/tests/platform/test_endings.cpp
@@ -200,7 +200,7 @@
     nlohmann::json next = two;
     next["channel"] = elsewhere;
     change(next);
-    bool is = scene.front->change(platform::parse_node_config(next.dump())).has_value();
+    bool is = scene.front->reload(platform::parse_node_config(next.dump())).has_value();
     scene.run(0.1);
     return is && moved.connections.empty(); // nothing of it is in force
   };
@@ -217,7 +217,7 @@
   next["channel"] = elsewhere;
   next["settings"]["classes"][0]["deadline"] = 2.4;
   next["settings"]["limits"]["max_retry_after"] = 0.9;
-  REQUIRE_FALSE(scene.front->change(platform::parse_node_config(next.dump())).has_value());
+  REQUIRE_FALSE(scene.front->reload(platform::parse_node_config(next.dump())).has_value());
   CHECK(scene.until([&] { return moved.connections.size() == 1; }, 1));
   RawClient &viewer = scene.viewer();
   std::string longer = scene.next_tag();
--- a/tests/platform/test_many_servers.cpp
+++ b/tests/platform/test_many_servers.cpp
@@ -43,10 +43,10 @@
 TEST_CASE("many servers: a change of one server costs work for the whole list", "[many]") {
   ManyServers scene;
   REQUIRE(scene.until([&] { return scene.front->core().has_list(); }));
-  auto before = scene.front->work();
+  auto before = scene.front->server_scans();
   scene.tell(scene.change_of_one(2, 1));
   REQUIRE(scene.until([&] { return scene.front->core().list_version() == 2; }));
-  auto after = scene.front->work();
+  auto after = scene.front->server_scans();
   CHECK(after.for_lists - before.for_lists < 20);
   CHECK(after.idle - before.idle < 20);
 }
@@ -55,11 +55,11 @@
   ManyServers scene;
   RawClient &peer = scene.viewer();
   scene.standing(peer); // connections are up
-  auto before = scene.front->work();
+  auto before = scene.front->server_scans();
   std::string tag = scene.next_tag();
   peer.send(PlatformScene::start(tag));
   REQUIRE(scene.until([&] { return PlatformScene::said(peer, "STARTED", tag); }));
-  auto after = scene.front->work();
+  auto after = scene.front->server_scans();
   CHECK(after.for_placements - before.for_placements < 20);
 }
 
@@ -67,9 +67,9 @@
   ManyServers scene;
   scene.standing(scene.viewer());
   scene.run(0.5);
-  auto before = scene.front->work();
+  auto before = scene.front->server_scans();
   scene.run(1.2);
-  auto after = scene.front->work();
+  auto after = scene.front->server_scans();
   CHECK(after.idle - before.idle < 200);
 }
 
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -319,13 +319,13 @@
   CHECK_THROWS_AS(platform::parse_node_config("{"), platform::NodeConfigError);
   nlohmann::json other = scene.config;
   other["settings"]["skus"] = {"k", "l"};
-  CHECK(scene.front->change(platform::parse_node_config(other.dump())));
+  CHECK(scene.front->reload(platform::parse_node_config(other.dump())));
   RawServer moved(scene.io);
   RawClient &viewer = scene.viewer();
   auto [server, tag] = scene.standing(viewer);
   other = scene.config;
   other["channel"] = "127.0.0.1:" + std::to_string(moved.acceptor.local_endpoint().port());
-  CHECK_FALSE(scene.front->change(platform::parse_node_config(other.dump())));
+  CHECK_FALSE(scene.front->reload(platform::parse_node_config(other.dump())));
   CHECK(scene.until([&] { return moved.connections.size() == 1; }, 1));
   CHECK(scene.open() == 1); // plays are untouched
 }
--- a/tests/rtsp/test_rtsp.cpp
+++ b/tests/rtsp/test_rtsp.cpp
@@ -118,7 +118,7 @@
     CAPTURE(rtsp::kEndReasonNames[static_cast<int>(row.end)], row.status);
     rtsp::Message message;
     message.status = std::max(row.status, 0);
-    auto end = platform::end_of(row.end, row.status < 0 ? nullptr : &message);
+    auto end = platform::set_up_outcome(row.end, row.status < 0 ? nullptr : &message);
     CHECK(end.outcome == row.outcome);
     CHECK(end.started == row.started);
   }
@@ -135,7 +135,7 @@
     CAPTURE(row.reason);
     rtsp::Message message;
     message.add_header("Reason", row.reason);
-    CHECK(platform::outcome_of_release(platform::cause_of(message).value_or(platform::kCauseFailed)) ==
+    CHECK(platform::release_outcome(platform::release_cause(message).value_or(platform::kCauseFailed)) ==
           row.outcome);
   }
 }
