--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kShown = 12;
 
 soak::FaultKind kind_of(const std::string &name) {
-  for (int k = 0; k < soak::kFaultKinds; ++k) {
+  for (int k = 0; k < soak::kFaultKindCount; ++k) {
     if (name == soak::name_of(static_cast<soak::FaultKind>(k))) return static_cast<soak::FaultKind>(k);
   }
   throw std::runtime_error("no fault '" + name + "'");
@@ -27,22 +27,22 @@
   options_.folder = "soak-out";
   command_->add_option("--seed", seed_, "Of deployment, traffic and faults")->capture_default_str();
   command_->add_option("--seeds", seeds_, "A..B: one run after another");
-  command_->add_option("--front-ends", choices_.front_ends, "In place of the seed's")
+  command_->add_option("--front-ends", overrides_.front_ends, "In place of the seed's")
       ->check(CLI::Range(1, 40));
-  command_->add_option("--servers", choices_.servers, "In place of the seed's")->check(CLI::Range(1, 3200));
-  command_->add_option("--lasts", choices_.lasts, "Seconds of traffic")->check(CLI::Range(1, 3600));
-  command_->add_option("--core-share", choices_.core_share, "Part of a core for each front end")
+  command_->add_option("--servers", overrides_.servers, "In place of the seed's")->check(CLI::Range(1, 3200));
+  command_->add_option("--lasts", overrides_.traffic_duration, "Seconds of traffic")->check(CLI::Range(1, 3600));
+  command_->add_option("--core-share", overrides_.core_share, "Part of a core for each front end")
       ->check(CLI::Range(0.02, 1.0));
-  command_->add_option("--deadline", choices_.deadline, "Seconds, of all classes")
+  command_->add_option("--deadline", overrides_.deadline, "Seconds, of all classes")
       ->check(CLI::Range(0.1, 60.0));
-  command_->add_option("--rate", choices_.rate, "Requests a second at each front end")
+  command_->add_option("--rate", overrides_.request_rate, "Requests a second at each front end")
       ->check(CLI::Range(0.1, 500.0));
-  command_->add_option("--sockets", choices_.sockets, "Descriptors of a front end")
+  command_->add_option("--sockets", overrides_.sockets, "Descriptors of a front end")
       ->check(CLI::Range(64, 4096));
-  command_->add_option("--session", choices_.session, "Mean length of a session, seconds")
+  command_->add_option("--session", overrides_.mean_session_length, "Mean length of a session, seconds")
       ->check(CLI::Range(0.1, 600.0));
   command_->add_option("--only", only_, "These faults and no others");
-  command_->add_flag("--no-faults", choices_.no_faults, "Traffic alone");
+  command_->add_flag("--no-faults", overrides_.no_faults, "Traffic alone");
   command_->add_flag("--table", table_, "One line a seed, with what a front end used");
   command_->add_option("--break", breaks_, "A rule that is broken on purpose, to see that it is found");
   command_->add_option("--out", options_.folder, "Folder for configurations and logs; made anew")
@@ -51,8 +51,8 @@
 }
 
 int SoakCommand::run_seed(std::uint64_t seed) {
-  soak::Scenario scenario = soak::draw(seed, choices_);
-  scenario.breaks = breaks_;
+  soak::Scenario scenario = soak::draw_scenario(seed, overrides_);
+  scenario.broken_rule = breaks_;
   if (!table_) std::printf("%s\n", soak::describe(scenario).c_str());
   std::fflush(stdout);
   soak::RunResult result = soak::run(scenario, options_);
@@ -69,7 +69,7 @@
   std::size_t shown = 0;
   for (const soak::Violation &one : result.violations) {
     if (shown++ >= kShown) break;
-    std::printf("  %8.3f %s: %s (session %016llx)\n", one.at, soak::name_of(one.rule), one.what.c_str(),
+    std::printf("  %8.3f %s: %s (session %016llx)\n", one.time, soak::name_of(one.rule), one.message.c_str(),
                 static_cast<unsigned long long>(one.session));
   }
   if (!result.violations.empty()) {
@@ -88,7 +88,7 @@
   options_.folder = std::filesystem::absolute(options_.folder).string();
   std::filesystem::path own = std::filesystem::read_symlink("/proc/self/exe").parent_path();
   options_.shim = (own / "libsnowshore_soak_shim.so").string();
-  for (const std::string &name : only_) choices_.only.push_back(kind_of(name));
+  for (const std::string &name : only_) overrides_.only_faults.push_back(kind_of(name));
   std::uint64_t first = seed_, last = seed_;
   if (std::size_t dots = seeds_.find(".."); dots != std::string::npos) {
     first = std::stoull(seeds_.substr(0, dots));
--- a/src/cli/soak.h
+++ b/src/cli/soak.h
@@ -20,7 +20,7 @@
   int run_seed(std::uint64_t seed);
 
   CLI::App *command_;
-  soak::Choices choices_;
+  soak::ScenarioOverrides overrides_;
   soak::RunOptions options_;
   std::uint64_t seed_ = 1;
   std::string seeds_, breaks_;
--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -28,7 +28,7 @@
 
 Clients::Clients(asio::io_context &io, const Scenario &scenario, Ledger &ledger, int front,
                  asio::ip::tcp::endpoint at, std::uint64_t seed)
-    : io_(io), scenario_(scenario), ledger_(ledger), front_(front), at_(at), chance_(seed) {}
+    : io_(io), scenario_(scenario), ledger_(ledger), front_(front), at_(at), rng_(seed) {}
 
 void Clients::later(double seconds, std::function<void()> call) {
   auto timer =
@@ -44,7 +44,7 @@
 }
 
 void Clients::ask_later() {
-  later(chance_.exponential(1 / (scenario_.traffic.rate * factor_)), [this] {
+  later(rng_.exponential(1 / (scenario_.traffic.request_rate * factor_)), [this] {
     if (!asks_) return;
     ask(false);
     ask_later();
@@ -57,26 +57,26 @@
     if (!link->idle && !link->bad && link->wire->is_open()) open.push_back(link);
   }
   return open.empty() ? nullptr
-                      : open[static_cast<std::size_t>(chance_.whole(0, static_cast<int>(open.size()) - 1))];
+                      : open[static_cast<std::size_t>(rng_.uniform_int(0, static_cast<int>(open.size()) - 1))];
 }
 
 void Clients::ask(bool again) {
   const Deployment &d = scenario_.deployment;
   Request request;
-  request.service_class = chance_.whole(0, static_cast<int>(d.classes.size()) - 1);
+  request.service_class = rng_.uniform_int(0, static_cast<int>(d.classes.size()) - 1);
   const ServiceClass &terms = d.classes[static_cast<std::size_t>(request.service_class)];
-  request.left = terms.deadline * (chance_.happens(0.1) ? chance_.between(0.1, 1) : 1);
+  request.left = terms.deadline * (rng_.bernoulli(0.1) ? rng_.uniform(0.1, 1) : 1);
   // A title lies in one to three cells; few titles are asked for often.
-  std::uint64_t rank = static_cast<std::uint64_t>(chance_.exponential(d.cells * 1.5));
+  std::uint64_t rank = static_cast<std::uint64_t>(rng_.exponential(d.cells * 1.5));
   request.title = 0x7f3a9c2100000000ULL + rank;
   request.home = static_cast<int>(rank * 2654435761ULL % static_cast<std::uint64_t>(d.cells));
   request.copies = std::min(d.cells, 1 + static_cast<int>(rank % 3));
-  request.top = std::max(terms.floor, chance_.whole(1, 3));
-  request.viewer = chance_.word();
+  request.top = std::max(terms.floor, rng_.uniform_int(1, 3));
+  request.viewer = rng_.next_u64();
   request.again = again;
   std::uint64_t session = (static_cast<std::uint64_t>(front_) + 1) << 40 | next_++;
   bool busy = links_.size() >= kKept;
-  LinkRef link = busy && !chance_.happens(kNewConnection) ? any_open() : nullptr;
+  LinkRef link = busy && !rng_.bernoulli(kNewConnection) ? any_open() : nullptr;
   if (!link && !takes_part_) link = any_open(); // the distributor sends nobody new; who is connected goes on
   if (link) {
     requests_[session] = request;
@@ -119,7 +119,8 @@
                        ";top:" + std::to_string(request.top) + ";viewer:" + hex16(request.viewer);
   if (request.again) extras += ";again:1";
   if (!at.empty()) extras += ";at:" + at;
-  line["verb"] = "START", line["tag"] = hex16(session);
+  line["verb"] = "START";
+  line["tag"] = hex16(session);
   line["opts"] = {
       {"class", scenario_.deployment.classes[static_cast<std::size_t>(request.service_class)].name},
       {"left", std::to_string(static_cast<long>(request.left * 1000))},
@@ -132,11 +133,11 @@
 void Clients::send(std::uint64_t session, const LinkRef &link) {
   Request &request = requests_[session];
   if (!request.sent_again) {
-    ledger_.asked(session, front_, request.service_class, request.title, request.left, request.top);
-    if (chance_.happens(scenario_.traffic.early_leavers)) {
-      double after = chance_.happens(0.3) ? chance_.between(0, 0.01)
-                                          : chance_.exponential(scenario_.traffic.set_up * 1.5);
-      if (breaks(scenario_, Rule::gone)) after = 0;
+    ledger_.request_issued(session, front_, request.service_class, request.title, request.left, request.top);
+    if (rng_.bernoulli(scenario_.traffic.early_leave_share)) {
+      double after = rng_.bernoulli(0.3) ? rng_.uniform(0, 0.01)
+                                          : rng_.exponential(scenario_.traffic.mean_set_up_time * 1.5);
+      if (breaks_on_purpose(scenario_, Rule::gone)) after = 0;
       later(after, [this, session, link] { leave(session, link); });
     }
   }
@@ -150,8 +151,8 @@
 void Clients::leave(std::uint64_t session, const LinkRef &link) {
   if (!link->wire->is_open() || !link->open.contains(session)) return;
   bool closes = link->open.size() == 1 && link->sessions.empty();
-  ledger_.client_left(session, closes ? "closes" : "says so");
-  if (breaks(scenario_, Rule::gone)) return; // and does not tell
+  ledger_.client_gave_up(session, closes ? "closes" : "says so");
+  if (breaks_on_purpose(scenario_, Rule::gone)) return; // and does not tell
   if (closes) {
     link->wire->close();
     links_.erase(link);
@@ -165,31 +166,31 @@
 void Clients::on_line(const LinkRef &link, std::string_view text) {
   auto line = nlohmann::json::parse(text, nullptr, false);
   if (line.is_discarded() || !line.is_object()) {
-    if (!link->bad) ledger_.connection_ended_under(link->open.empty() ? 0 : link->open.begin()->first);
+    if (!link->bad) ledger_.connection_lost_while_waiting(link->open.empty() ? 0 : link->open.begin()->first);
     return;
   }
   std::string verb = line.value("verb", "");
   std::uint64_t session = std::strtoull(line.value("tag", "0").c_str(), nullptr, 16);
   int cause = line.contains("rc") && line["rc"].is_number() ? line["rc"].get<int>() : 0;
   if (verb == "ECHOED") {
-    if (breaks(scenario_, Rule::ready) && now() - tested_since_ < kBrokenReady) return;
+    if (breaks_on_purpose(scenario_, Rule::ready) && now() - tested_since_ < kBrokenReady) return;
     if (cause == 1 && on_test_passed_) std::exchange(on_test_passed_, nullptr)();
     return;
   }
   bool is_final = verb == "STARTED" || verb == "FINISH";
   bool is_answer = is_final && link->open.contains(session);
-  if (breaks(scenario_, Rule::lost) && is_answer && chance_.happens(kBrokenShare)) return;
-  if (breaks(scenario_, Rule::release) && verb == "FINISH" && !is_answer && chance_.happens(kBrokenShare))
+  if (breaks_on_purpose(scenario_, Rule::lost) && is_answer && rng_.bernoulli(kBrokenShare)) return;
+  if (breaks_on_purpose(scenario_, Rule::release) && verb == "FINISH" && !is_answer && rng_.bernoulli(kBrokenShare))
     return;
   if (link->bad || verb == "FINISHED" || verb == "PENDING" || verb == "RATE" || verb == "NOTICE") return;
   if (verb == "STARTED") {
     bool was_open = link->open.erase(session) > 0;
-    ledger_.answered(session, Answer::active, line.value("blob", ""), 0);
+    ledger_.answer_received(session, Answer::active, line.value("blob", ""), 0);
     if (!was_open || !requests_.contains(session)) return; // the client has left: it ends what it is told of
     active_.insert(session);
     link->sessions.insert(session);
-    if (chance_.happens(scenario_.traffic.releases))
-      later(chance_.exponential(scenario_.traffic.session / 2), [this, session] { end_session(session); });
+    if (rng_.bernoulli(scenario_.traffic.client_release_share))
+      later(rng_.exponential(scenario_.traffic.mean_session_length / 2), [this, session] { end_session(session); });
     return;
   }
   double wait = 0;
@@ -205,16 +206,16 @@
 void Clients::on_final(const LinkRef &link, std::uint64_t session, int cause, double wait) {
   if (link->open.erase(session) > 0) {
     bool refused = std::ranges::find(kRefused, cause) != std::end(kRefused);
-    ledger_.answered(session, refused ? Answer::refused : Answer::failed, "", cause);
+    ledger_.answer_received(session, refused ? Answer::refused : Answer::failed, "", cause);
     requests_.erase(session);
-    if (refused && chance_.happens(scenario_.traffic.retries))
-      later(wait * chance_.between(0.3, 1) + 0.01, [this] {
+    if (refused && rng_.bernoulli(scenario_.traffic.retry_share))
+      later(wait * rng_.uniform(0.3, 1) + 0.01, [this] {
         if (asks_) ask(true);
       });
     return;
   }
   if (active_.erase(session) > 0) requests_.erase(session);
-  ledger_.told_over(session, cause);
+  ledger_.end_reported(session, cause);
 }
 
 void Clients::end_session(std::uint64_t session) {
@@ -222,7 +223,7 @@
   if (!link || active_.erase(session) == 0) return;
   requests_.erase(session);
   link->wire->say(R"({"verb":"FINISH","tag":")" + hex16(session) + R"(","opts":{},"rc":16})" + "\n",
-                  [this, session] { ledger_.client_ends(session); });
+                  [this, session] { ledger_.client_ended_session(session); });
 }
 
 void Clients::closed(const LinkRef &link) {
@@ -232,17 +233,17 @@
   for (const auto &[session, written_at] : std::exchange(link->open, {})) {
     Request &request = requests_[session];
     if (killed_) {
-      ledger_.excuse(session, "its front end was killed");
+      ledger_.waive_answer(session, "its front end was killed");
     } else if (now() - written_at <= kCrossing && !request.sent_again && link->sessions.empty() + 1 > 0) {
       request.sent_again = true;
       connect([this, session = session](LinkRef made) {
-        if (!made) return ledger_.excuse(session, "it crossed a close, and nobody listens");
-        ledger_.note(session, "sent once more, it crossed a close");
+        if (!made) return ledger_.waive_answer(session, "it crossed a close, and nobody listens");
+        ledger_.add_note(session, "sent once more, it crossed a close");
         send(session, made);
       });
       continue;
     } else {
-      ledger_.connection_ended_under(session);
+      ledger_.connection_lost_while_waiting(session);
     }
     requests_.erase(session);
   }
@@ -270,7 +271,7 @@
       if (server.empty()) continue;
       link->sessions.insert(session);
       link->wire->say(start_line(session, requests_[session], server),
-                      [this, session] { ledger_.handed_over(session); });
+                      [this, session] { ledger_.session_handed_over(session); });
     }
   });
 }
@@ -287,7 +288,7 @@
     connect([this](LinkRef link) {
       if (!link) return;
       link->bad = true;
-      std::string id = hex16(0xbad0000000000000ULL | chance_.word() >> 32);
+      std::string id = hex16(0xbad0000000000000ULL | rng_.next_u64() >> 32);
       const std::string lines[] = {"no json at all\n",
                                    R"({"verb":"START","tag":")" + id + "\n",
                                    R"({"verb":"START","tag":")" + id +
@@ -295,7 +296,7 @@
                                    R"({"verb":"FINISH","tag":")" + id + R"(","opts":{},"rc":16})" + "\n",
                                    std::string(20000, 'x'),
                                    R"({"verb":"START")"};
-      link->wire->say(lines[chance_.whole(0, 5)]);
+      link->wire->say(lines[rng_.uniform_int(0, 5)]);
     });
 }
 
--- a/src/soak/clients.h
+++ b/src/soak/clients.h
@@ -70,7 +70,7 @@
   Ledger &ledger_;
   int front_;
   asio::ip::tcp::endpoint at_;
-  Chance chance_;
+  SeededRng rng_;
   std::shared_ptr<WireFaults> faults_ = std::make_shared<WireFaults>();
   std::set<LinkRef> links_;
   std::map<std::uint64_t, Request> requests_; // asked or active
--- a/src/soak/discovery.cpp
+++ b/src/soak/discovery.cpp
@@ -47,7 +47,7 @@
   }
   int number = last() + 1;
   frames_.push_back(frame(static_cast<std::uint64_t>(number), number == 1 ? 1 : 2, payload));
-  ledger_.change_made(number);
+  ledger_.list_change_made(number);
   for (const CallRef &call : calls_) bring(call);
   return number;
 }
@@ -79,12 +79,12 @@
     const std::string &text = frames_[static_cast<std::size_t>(call->sent)];
     bytes_ += text.size();
     ++call->sent;
-    if (breaks(scenario_, Rule::drain)) { // counts as told, and never is
-      ledger_.change_told(call->front, call->sent);
+    if (breaks_on_purpose(scenario_, Rule::drain)) { // counts as told, and never is
+      ledger_.list_change_delivered(call->front, call->sent);
       continue;
     }
     call->wire->say(text,
-                    [this, front = call->front, number = call->sent] { ledger_.change_told(front, number); });
+                    [this, front = call->front, number = call->sent] { ledger_.list_change_delivered(front, number); });
   }
 }
 
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 Fleet::Fleet(asio::io_context &io, const Scenario &scenario, Ledger &ledger, FrontFiles files, double start)
-    : io_(io), scenario_(scenario), ledger_(ledger), files_(std::move(files)), chance_(scenario.seed * 7 + 3),
+    : io_(io), scenario_(scenario), ledger_(ledger), files_(std::move(files)), rng_(scenario.seed * 7 + 3),
       blackhole_(io, asio::ip::address_v4(kUnreachableAddress), [](asio::ip::tcp::socket) {}),
       discovery_(io, scenario, ledger, start),
       lives_(static_cast<std::size_t>(scenario.deployment.front_ends)),
@@ -30,7 +30,7 @@
   files_.blackhole = blackhole_.at().address().to_string() + ":" + std::to_string(blackhole_.at().port());
   std::vector<ListEntry> all;
   for (int s = 0; s < d.servers; ++s) {
-    servers_.push_back(std::make_unique<StandInServer>(io, scenario, ledger, s, chance_.word()));
+    servers_.push_back(std::make_unique<StandInServer>(io, scenario, ledger, s, rng_.next_u64()));
     servers_.back()->start(false);
     all.push_back(entry(s));
   }
@@ -39,7 +39,7 @@
   for (int f = 0; f < d.front_ends; ++f) {
     auto listen = free_port(io, asio::ip::address_v4(kFrontAddresses + static_cast<std::uint32_t>(f)));
     fronts_.push_back(std::make_unique<FrontProcess>(scenario, files_, f, listen));
-    clients_.push_back(std::make_unique<Clients>(io, scenario, ledger, f, listen, chance_.word()));
+    clients_.push_back(std::make_unique<Clients>(io, scenario, ledger, f, listen, rng_.next_u64()));
     clients_.back()->server_name_of = [this](std::uint64_t session) {
       std::uint32_t id = ledger_.server_id_of(session);
       if (id == 0) return std::string();
@@ -55,8 +55,11 @@
 ListEntry Fleet::entry(int index) const {
   const StandInServer &its = *servers_[static_cast<std::size_t>(index)];
   ListEntry out;
-  out.id = its.id(), out.at = its.at(), out.started_ms = its.started_ms();
-  out.cell = index % scenario_.deployment.cells, out.zone = index % scenario_.deployment.zones;
+  out.id = its.id();
+  out.at = its.at();
+  out.started_ms = its.started_ms();
+  out.cell = index % scenario_.deployment.cells;
+  out.zone = index % scenario_.deployment.zones;
   return out;
 }
 
@@ -76,14 +79,17 @@
   auto at = static_cast<std::size_t>(front);
   Life &life = lives_[at];
   Life next;
-  next.cpu_before = life.cpu_before, next.peak_mb = life.peak_mb, next.descriptors = life.descriptors;
+  next.cpu_before = life.cpu_before;
+  next.peak_mb = life.peak_mb;
+  next.descriptors = life.descriptors;
   life = next;
-  fronts_[at]->write_config(discovery_, chance_.word());
+  fronts_[at]->write_config(discovery_, rng_.next_u64());
   ledger_.front_started(front);
   fronts_[at]->start();
   clients_[at]->test([this, front] {
     Life &its = lives_[static_cast<std::size_t>(front)];
-    its.ready = true, its.ready_at = now();
+    its.ready = true;
+    its.ready_at = now();
     ledger_.front_ready(front);
     clients(front).front_is_up();
     clients(front).take_part(true);
@@ -106,11 +112,12 @@
   auto at = static_cast<std::size_t>(front);
   Life &life = lives_[at];
   if (!fronts_[at]->runs() || !life.ready || life.planned) return;
-  life.planned = true, life.comes_back = comes_back;
-  life.kill_at = now() + scenario_.deployment.earliest_kill();
-  ledger_.front_terminates(front);
-  if (!breaks(scenario_, Rule::owed_at_exit)) fronts_[at]->signal(SIGTERM);
-  later(chance_.between(0.2, 0.4), [this, front] {
+  life.planned = true;
+  life.comes_back = comes_back;
+  life.kill_at = now() + scenario_.deployment.earliest_kill_delay();
+  ledger_.front_sigterm_sent(front);
+  if (!breaks_on_purpose(scenario_, Rule::owed_at_exit)) fronts_[at]->signal(SIGTERM);
+  later(rng_.uniform(0.2, 0.4), [this, front] {
     if (lives_[static_cast<std::size_t>(front)].planned) clients(front).take_part(false);
   });
 }
@@ -118,8 +125,9 @@
 void Fleet::kill(int front, double back_after) {
   auto at = static_cast<std::size_t>(front);
   if (!fronts_[at]->runs() || lives_[at].planned) return;
-  lives_[at].comes_back = true, lives_[at].back_at = now() + back_after;
-  if (breaks(scenario_, Rule::crash)) return fronts_[at]->signal(SIGKILL); // by nobody that anyone knows of
+  lives_[at].comes_back = true;
+  lives_[at].back_at = now() + back_after;
+  if (breaks_on_purpose(scenario_, Rule::crash)) return fronts_[at]->signal(SIGKILL); // by nobody that anyone knows of
   lives_[at].killed = true;
   clients(front).front_killed();
   ledger_.front_killed(front);
@@ -137,7 +145,7 @@
   discovery_.move();
   for (int f = 0; f < fronts(); ++f) {
     auto at = static_cast<std::size_t>(f);
-    fronts_[at]->write_config(discovery_, chance_.word());
+    fronts_[at]->write_config(discovery_, rng_.next_u64());
     lives_[at].needs_reload = true;
     ledger_.discovery_reachable(f, false);
   }
@@ -152,13 +160,14 @@
 void Fleet::on_end(int front, int status) {
   auto at = static_cast<std::size_t>(front);
   Life &life = lives_[at];
-  if (!life.killed) ledger_.front_gone(front, life.planned, false, status);
+  if (!life.killed) ledger_.front_exited(front, life.planned, false, status);
   clients(front).front_gone();
   const FrontUsage &used = fronts_[at]->at_end();
   life.cpu_before += used.cpu;
   life.peak_mb = std::max(life.peak_mb, used.peak_mb);
-  life.ready = false, life.kill_at = -1;
-  if (life.comes_back && life.back_at < 0) life.back_at = now() + chance_.between(0.1, 0.6);
+  life.ready = false;
+  life.kill_at = -1;
+  if (life.comes_back && life.back_at < 0) life.back_at = now() + rng_.uniform(0.1, 0.6);
 }
 
 void Fleet::look() {
@@ -168,8 +177,9 @@
     int status = 0;
     if (fronts_[at]->ended(status)) on_end(f, status);
     if (fronts_[at]->runs() && life.kill_at >= 0 && now() >= life.kill_at) {
-      life.kill_at = -1, life.killed = true;
-      ledger_.front_gone(f, true, true, 0);
+      life.kill_at = -1;
+      life.killed = true;
+      ledger_.front_exited(f, true, true, 0);
       clients(f).front_killed();
       fronts_[at]->signal(SIGKILL);
     }
@@ -179,7 +189,7 @@
       reload(f);
     }
   }
-  ledger_.look(now());
+  ledger_.run_due_checks(now());
   if (++looks_ % kLooksASlowLook != 0) return;
   discovery_.look();
   for (auto &one : servers_) one->look();
@@ -200,9 +210,9 @@
   one.state = state;
   int number = discovery_.change({one});
   if (state == ServerState::active)
-    ledger_.server_returns(index);
+    ledger_.server_reactivated(index);
   else
-    ledger_.server_leaves(index, number);
+    ledger_.server_leaving(index, number);
 }
 
 void Fleet::repeat(int index) {
@@ -230,9 +240,9 @@
 void Fleet::read_logs() {
   for (int f = 0; f < fronts(); ++f) {
     std::ifstream in(fronts_[static_cast<std::size_t>(f)]->log());
-    if (breaks(scenario_, Rule::denied)) ledger_.front_denied(f, "on purpose");
+    if (breaks_on_purpose(scenario_, Rule::denied)) ledger_.guard_denial_logged(f, "on purpose");
     for (std::string line; std::getline(in, line);) {
-      if (line.find("\"event\":\"denied\"") != std::string::npos) ledger_.front_denied(f, line);
+      if (line.find("\"event\":\"denied\"") != std::string::npos) ledger_.guard_denial_logged(f, line);
     }
   }
 }
@@ -244,7 +254,7 @@
     FrontUsage used = fronts_[at]->usage();
     lives_[at].descriptors = std::max(lives_[at].descriptors, used.descriptors);
     lives_[at].peak_mb = std::max(lives_[at].peak_mb, used.peak_mb);
-    if (used.descriptors > 0) ledger_.front_uses(f, used.resident_mb, used.descriptors);
+    if (used.descriptors > 0) ledger_.check_usage(f, used.resident_mb, used.descriptors);
   }
 }
 
--- a/src/soak/fleet.h
+++ b/src/soak/fleet.h
@@ -39,7 +39,7 @@
   Discovery &discovery() { return discovery_; }
   int servers() const { return static_cast<int>(servers_.size()); }
   int fronts() const { return static_cast<int>(fronts_.size()); }
-  Chance &chance() { return chance_; }
+  SeededRng &rng() { return rng_; }
   void later(double seconds, std::function<void()> call);
   void read_logs(); // for what the front ends' own guards denied
   void measure();   // once a second
@@ -66,7 +66,7 @@
   const Scenario &scenario_;
   Ledger &ledger_;
   FrontFiles files_;
-  Chance chance_;
+  SeededRng rng_;
   Listener blackhole_;
   Discovery discovery_;
   std::vector<std::unique_ptr<StandInServer>> servers_;
--- a/src/soak/front_process.cpp
+++ b/src/soak/front_process.cpp
@@ -38,7 +38,8 @@
 nlohmann::json settings_of(const Scenario &scenario, int index) {
   const Deployment &d = scenario.deployment;
   nlohmann::json s;
-  s["group_size"] = d.front_ends, s["index"] = index;
+  s["group_size"] = d.front_ends;
+  s["index"] = index;
   s["areas"] = nlohmann::json::array();
   for (int z = 0; z < d.zones; ++z) s["areas"].push_back(kZones[z]);
   s["skus"] = {"k"}, s["my_zone"] = kZones[index % d.zones], s["discovery"] = "pushed",
@@ -49,34 +50,40 @@
                             {"on_time", one.on_time},
                             {"deadline", one.deadline},
                             {"worth", 1.0},
-                            {"effect", breaks(scenario, Rule::unsafe_repeat) ? "safe" : one.effect},
+                            {"effect", breaks_on_purpose(scenario, Rule::unsafe_repeat) ? "safe" : one.effect},
                             {"stream", true}});
-    family["class_floor"].push_back(one.floor), family["class_top"].push_back(one.top);
-    family["class_seats"].push_back(breaks(scenario, Rule::seats) ? 0 : one.seats),
-        family["rate_factor"].push_back(1.0);
+    family["class_floor"].push_back(one.floor);
+    family["class_top"].push_back(one.top);
+    family["class_seats"].push_back(breaks_on_purpose(scenario, Rule::seats) ? 0 : one.seats);
+    family["rate_factor"].push_back(1.0);
     family["is_live"].push_back(false);
   }
-  family["cells"] = d.cells, family["kind_slots"] = {d.places}, family["groups"] = d.racks;
-  family["ladder_kb"] = {100, 200, 400, 800}, family["worth_by_rung"] = {0.2, 0.5, 0.8, 1.0};
-  family["seen_after"] = 0.5, family["reports_every"] = d.notes_every, family["link_unit_kb"] = 40000,
+  family["cells"] = d.cells;
+  family["kind_slots"] = {d.slots_per_server};
+  family["groups"] = d.racks;
+  family["ladder_kb"] = {100, 200, 400, 800};
+  family["worth_by_rung"] = {0.2, 0.5, 0.8, 1.0};
+  family["seen_after"] = 0.5;
+  family["reports_every"] = d.note_interval;
+  family["link_unit_kb"] = 40000;
   family["rack_link_kb"] = 0;
   family["full_from"] = 1.2;
   s["family_info"] = family;
-  s["limits"] = {{"attempts_cap", d.attempts}, {"cancel", true},
-                 {"probes", d.probes},         {"retry_after", true},
+  s["limits"] = {{"attempts_cap", d.max_attempts}, {"cancel", true},
+                 {"probes", d.probes_enabled},         {"retry_after", true},
                  {"max_retry_after", 0.5},     {"connect_timeout", d.connect_timeout},
-                 {"idle_close", d.idle_close}, {"multiplex", d.multiplex}};
+                 {"idle_close", d.idle_timeout}, {"multiplex", d.multiplex}};
   s["report"] = {{"how", "answers"}, {"names", {"cpu", "x1"}}};
   s["prices"] = {{"probe", 0.0}};
   s["rules"] = {{"answer_slack", 0.04},
-                {"cold", d.warm_up},
-                {"cold_from", d.cold_share},
-                {"fall_multiple", breaks(scenario, Rule::cold) ? 1000.0 : d.fall_multiple},
-                {"tip_after", d.fall_span},
+                {"cold", d.warm_up_time},
+                {"cold_from", d.cold_capacity_share},
+                {"fall_multiple", breaks_on_purpose(scenario, Rule::cold) ? 1000.0 : d.overload_multiple},
+                {"tip_after", d.overload_window},
                 {"stop_sending_within", d.drain_grace},
-                {"repeat_ratio", d.retry_share},
-                {"free_resends", breaks(scenario, Rule::budget) ? 1000.0 : d.retry_free},
-                {"budget_span", d.retry_span}};
+                {"repeat_ratio", d.retry_ratio},
+                {"free_resends", breaks_on_purpose(scenario, Rule::budget) ? 1000.0 : d.retry_allowance},
+                {"budget_span", d.retry_window}};
   return s;
 }
 
@@ -112,7 +119,9 @@
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(seed));
   const Deployment &d = scenario_.deployment;
-  config["name"] = "n" + std::to_string(index_), config["listen"] = dotted(listen_), config["seed"] = text;
+  config["name"] = "n" + std::to_string(index_);
+  config["listen"] = dotted(listen_);
+  config["seed"] = text;
   config["limits"] = {{"cores", d.core_share}, {"memory_mb", d.memory_mb}, {"sockets", d.sockets}};
   config["channel"] = dotted(discovery.at(discovery.place()));
   constexpr const char *kStates[] = {"active", "leaving", "left"};
@@ -149,20 +158,24 @@
   if (pid_ == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     int out = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    dup2(out, 1), dup2(out, 2);
+    dup2(out, 1);
+    dup2(out, 2);
     close_range(3, ~0U, 0);
     rlimit descriptors{static_cast<rlim_t>(scenario_.deployment.sockets),
                        static_cast<rlim_t>(scenario_.deployment.sockets)};
     setrlimit(RLIMIT_NOFILE, &descriptors);
-    setenv("NODE_CONFIG", config.c_str(), 1), setenv("SOAK_SOURCE", source.c_str(), 1),
-        setenv("SOAK_CONTROL", control.c_str(), 1);
-    setenv("SOAK_BLACKHOLE", files_.blackhole.c_str(), 1), setenv("SOAK_DISCOVERY", discovery.c_str(), 1);
+    setenv("NODE_CONFIG", config.c_str(), 1);
+    setenv("SOAK_SOURCE", source.c_str(), 1);
+    setenv("SOAK_CONTROL", control.c_str(), 1);
+    setenv("SOAK_BLACKHOLE", files_.blackhole.c_str(), 1);
+    setenv("SOAK_DISCOVERY", discovery.c_str(), 1);
     setenv("LD_PRELOAD", files_.shim.c_str(), 1);
     execl(files_.program.c_str(), files_.program.c_str(), "edge", "--platform", nullptr);
     _exit(127);
   }
   clock_getcpuclockid(pid_, &cpu_clock_);
-  cpu_seen_ = 0, stopped_ = false;
+  cpu_seen_ = 0;
+  stopped_ = false;
 }
 
 void FrontProcess::signal(int number) {
@@ -220,7 +233,8 @@
   std::ifstream in(proc + "/status");
   std::ostringstream all;
   all << in.rdbuf();
-  out.peak_mb = megabytes(all.str(), "VmHWM:"), out.resident_mb = megabytes(all.str(), "VmRSS:");
+  out.peak_mb = megabytes(all.str(), "VmHWM:");
+  out.resident_mb = megabytes(all.str(), "VmRSS:");
   std::error_code failed;
   for (auto it = std::filesystem::directory_iterator(proc + "/fd", failed);
        !failed && it != std::filesystem::directory_iterator(); it.increment(failed))
--- a/src/soak/ledger.cpp
+++ b/src/soak/ledger.cpp
@@ -11,27 +11,39 @@
 
 namespace {
 
-// Figures of the platform's pages, in seconds unless said otherwise.
-constexpr double kSlack = 0.05;         // every time limit is so much longer
-constexpr double kLateAnswer = 0.5;     // an answer so late only earns nothing
-constexpr double kReleaseWithin = 1;    // after the server's release
-constexpr double kEndWithin = 8;        // after the end of a session whose release could not be sent
-constexpr double kHandOverCounts = 0.2; // what is handed over counts so much later
-constexpr double kGone = 0.1;           // an attempt begins at most so long after its client left
-constexpr double kGoneWaited = 0.3;     // likewise, of one that waited
-constexpr double kGoneShare = 0.25;     // of those who left: at most so many of the latter kind
-constexpr double kReadyWithin = 10;
-constexpr double kReadyShare = 0.1;     // of restarts: at most so many are ready later
-constexpr double kToldByNewCall = 6;    // after a failed, refused or given-up call to discovery
-constexpr double kToldAfterSilence = 4; // after open calls fell silent
-constexpr double kToldShare = 2.0 / 3;  // a fall counts where more of its arrivals came from the told
+// Limits from the platform's pages, in seconds unless said otherwise.
+constexpr double kSlack = 0.05; // added to every time limit
+// An answer that comes up to this long after the request's time limit is late but not lost.
+constexpr double kAnswerGrace = 0.5;
+// A server's release has to reach the client within this time.
+constexpr double kReleaseForwardingTime = 1;
+// The end of a session whose release could not be sent has to reach the client within this time.
+constexpr double kUnannouncedEndTime = 8;
+// A session that is handed over counts for the front end from this long after it was written.
+constexpr double kHandOverDelay = 0.2;
+// An attempt may begin up to this long after its client gave up, and up to the second limit if it waited for
+// a connection.
+constexpr double kGaveUpGrace = 0.1;
+constexpr double kGaveUpGraceNewConnection = 0.3;
+// The highest number of attempts that begin after the first limit, as a share of the clients that gave up.
+constexpr double kMaxLateAttemptShare = 0.25;
+constexpr double kRestartReadyTime = 10;
+// The highest share of restarts that are ready later than that.
+constexpr double kMaxLateRestartShare = 0.1;
+// A front end counts as knowing a change this long after a connection to discovery that failed, was refused
+// or was given up, and this long after open subscriptions fell silent.
+constexpr double kKnownAfterNewConnection = 6;
+constexpr double kKnownAfterSilence = 4;
+// An overload breaks the rule if more than this share of the set-ups came from front ends that knew of the
+// server's start.
+constexpr double kInformedShare = 2.0 / 3;
 
 constexpr const char *kRuleNames[] = {"lost",  "duplicate", "unsafe_repeat", "drain", "cold",
                                       "floor", "seats",     "budget",        "gone",  "release",
                                       "ready", "crash",     "owed_at_exit",  "limit", "denied"};
-static_assert(std::size(kRuleNames) == kRules);
+static_assert(std::size(kRuleNames) == kRuleCount);
 
-std::string text_of(const char *format, auto... values) {
+std::string format_text(const char *format, auto... values) {
   char line[300];
   std::snprintf(line, sizeof line, format, values...);
   return line;
@@ -39,343 +51,379 @@
 
 } // namespace
 
-bool breaks(const Scenario &scenario, Rule rule) { return scenario.breaks == name_of(rule); }
+bool breaks_on_purpose(const Scenario &scenario, Rule rule) { return scenario.broken_rule == name_of(rule); }
 
 const char *name_of(Rule rule) { return kRuleNames[static_cast<int>(rule)]; }
 
 Ledger::Ledger(const Scenario &scenario, double start)
-    : scenario_(scenario), start_(start),
-      processes_(static_cast<std::size_t>(scenario.deployment.front_ends)), made_(1, start) {}
+    : scenario_(scenario), start_time_(start),
+      processes_(static_cast<std::size_t>(scenario.deployment.front_ends)), change_made_at_(1, start) {}
 
 Ledger::Session *Ledger::find(std::uint64_t session) {
   auto it = sessions_.find(session);
   return it == sessions_.end() ? nullptr : &it->second;
 }
 
-Ledger::Process &Ledger::process(int front) { return processes_[static_cast<std::size_t>(front)]; }
+Ledger::Process &Ledger::process_of(int front) { return processes_[static_cast<std::size_t>(front)]; }
 
-void Ledger::note(std::uint64_t session, std::string text) {
-  if (Session *its = find(session)) its->notes.push_back({now(), std::move(text)});
+void Ledger::add_note(std::uint64_t session, std::string text) {
+  if (Session *record = find(session)) record->notes.push_back({now(), std::move(text)});
 }
 
-void Ledger::violate(Rule rule, std::uint64_t session, std::string what) {
-  violations_.push_back({rule, now() - start_, session, what});
-  note(session, "VIOLATION " + std::string(name_of(rule)) + ": " + what);
+void Ledger::violate(Rule rule, std::uint64_t session, std::string message) {
+  violations_.push_back({rule, now() - start_time_, session, message});
+  add_note(session, "VIOLATION " + std::string(name_of(rule)) + ": " + message);
 }
 
-// ---- Clients.
+// ---- Events that clients observe.
 
-void Ledger::asked(std::uint64_t session, int front, int service_class, std::uint64_t title, double time,
-                   int top) {
-  ++counts_.asked;
-  Session &its = sessions_[session];
-  its.front = front, its.life = process(front).life, its.service_class = service_class, its.title = title;
-  its.time = time, its.top = breaks(scenario_, Rule::floor) ? 0 : top;
-  process(front).asks.push_back(now());
-  note(session, text_of("client asks front end %d, class %s, %.0f ms", front,
-                        scenario_.deployment.classes[static_cast<std::size_t>(service_class)].name.c_str(),
-                        time * 1e3));
+void Ledger::request_issued(std::uint64_t session, int front, int service_class, std::uint64_t title,
+                            double time_limit, int top_rung) {
+  ++counts_.requests;
+  Session &record = sessions_[session];
+  record.front = front;
+  record.generation = process_of(front).generation;
+  record.service_class = service_class;
+  record.title = title;
+  record.time_limit = time_limit;
+  record.top_rung = breaks_on_purpose(scenario_, Rule::floor) ? 0 : top_rung;
+  process_of(front).request_times.push_back(now());
+  add_note(session,
+           format_text("client asks front end %d, class %s, %.0f ms", front,
+                       scenario_.deployment.classes[static_cast<std::size_t>(service_class)].name.c_str(),
+                       time_limit * 1e3));
 }
 
 void Ledger::request_written(std::uint64_t session) {
-  Session *its = find(session);
-  if (!its) return;
-  its->written_at = now();
-  note(session, "request written");
+  Session *record = find(session);
+  if (!record) return;
+  record->written_at = now();
+  add_note(session, "request written");
 }
 
-void Ledger::client_left(std::uint64_t session, const char *how) {
-  Session *its = find(session);
-  if (!its || its->answer != Answer::none) return;
-  ++counts_.left;
-  its->left_at = now();
-  note(session, text_of("client gives up (%s)", how));
+void Ledger::client_gave_up(std::uint64_t session, const char *how) {
+  Session *record = find(session);
+  if (!record || record->answer != Answer::none) return;
+  ++counts_.given_up;
+  record->gave_up_at = now();
+  add_note(session, format_text("client gives up (%s)", how));
 }
 
-bool Ledger::waits(std::uint64_t session) const {
+bool Ledger::awaits_answer(std::uint64_t session) const {
   auto it = sessions_.find(session);
-  return it != sessions_.end() && it->second.answer == Answer::none && it->second.left_at < 0 &&
-         !it->second.excused;
+  return it != sessions_.end() && it->second.answer == Answer::none && it->second.gave_up_at < 0 &&
+         !it->second.answer_waived;
 }
 
-void Ledger::excuse(std::uint64_t session, const char *why) {
-  Session *its = find(session);
-  if (!its || its->answer != Answer::none || its->excused) return;
-  ++counts_.excused;
-  its->excused = true;
-  note(session, text_of("not owed an answer any more: %s", why));
+void Ledger::waive_answer(std::uint64_t session, const char *why) {
+  Session *record = find(session);
+  if (!record || record->answer != Answer::none || record->answer_waived) return;
+  ++counts_.waived;
+  record->answer_waived = true;
+  add_note(session, format_text("not owed an answer any more: %s", why));
 }
 
-void Ledger::connection_ended_under(std::uint64_t session) {
-  if (!waits(session)) return;
+void Ledger::connection_lost_while_waiting(std::uint64_t session) {
+  if (!awaits_answer(session)) return;
   violate(Rule::lost, session, "its connection ended with no answer");
-  find(session)->excused = true; // said once
+  // Keeps finish() from reporting the same request again.
+  find(session)->answer_waived = true;
 }
 
 void Ledger::client_connection_closed(std::uint64_t session) {
-  if (Session *its = find(session)) its->client_connected = false;
-}
-
-void Ledger::answered(std::uint64_t session, Answer answer, const std::string &description, int cause) {
-  Session *its = find(session);
-  if (!its) return violate(Rule::lost, 0, "an answer under an id that no client used");
-  note(session, text_of("client has its answer: %s, cause %d",
-                        answer == Answer::active    ? "active"
-                        : answer == Answer::refused ? "refused"
-                                                    : "failed",
-                        cause));
-  if (its->answer != Answer::none) return violate(Rule::lost, session, "a second answer");
-  its->answer = answer;
-  its->answered_at = now();
+  if (Session *record = find(session)) record->client_connected = false;
+}
+
+void Ledger::answer_received(std::uint64_t session, Answer answer, const std::string &description,
+                             int cause) {
+  Session *record = find(session);
+  if (!record) return violate(Rule::lost, 0, "an answer under an id that no client used");
+  add_note(session, format_text("client has its answer: %s, cause %d",
+                                answer == Answer::active    ? "active"
+                                : answer == Answer::refused ? "refused"
+                                                            : "failed",
+                                cause));
+  if (record->answer != Answer::none) return violate(Rule::lost, session, "a second answer");
+  record->answer = answer;
+  record->answered_at = now();
   ++(answer == Answer::active    ? counts_.active
      : answer == Answer::refused ? counts_.refused
                                  : counts_.failed);
-  if (its->left_at >= 0) return;
-  if (its->written_at >= 0 && now() - its->written_at > its->time + kLateAnswer + kSlack)
-    violate(
-        Rule::lost, session,
-        text_of("answered %.3f s after it asked, its time was %.3f s", now() - its->written_at, its->time));
+  if (record->gave_up_at >= 0) return;
+  if (record->written_at >= 0 && now() - record->written_at > record->time_limit + kAnswerGrace + kSlack)
+    violate(Rule::lost, session,
+            format_text("answered %.3f s after it asked, its time was %.3f s", now() - record->written_at,
+                        record->time_limit));
   if (answer == Answer::active &&
-      std::ranges::find(its->descriptions, description) == its->descriptions.end())
+      std::ranges::find(record->descriptions, description) == record->descriptions.end())
     violate(Rule::lost, session, "answered with a description that no server gave for it");
-  const ServiceClass &terms = scenario_.deployment.classes[static_cast<std::size_t>(its->service_class)];
-  bool ran = std::ranges::any_of(its->attempts, [](const Attempt &one) { return one.may_have_run; });
-  if (answer == Answer::refused && ran && !terms.may_repeat())
+  const ServiceClass &service_class =
+      scenario_.deployment.classes[static_cast<std::size_t>(record->service_class)];
+  bool ran =
+      std::ranges::any_of(record->attempts, [](const Attempt &attempt) { return attempt.may_have_run; });
+  if (answer == Answer::refused && ran && !service_class.safe_to_repeat())
     violate(Rule::unsafe_repeat, session, "refused as harmless to repeat, though an attempt may have run");
 }
 
-void Ledger::told_over(std::uint64_t session, int cause) {
-  Session *its = find(session);
-  if (!its) return;
-  note(session, text_of("client is told that its session is over, cause %d", cause));
-  if (its->told_over_at < 0) its->told_over_at = now(), ++counts_.over;
+void Ledger::end_reported(std::uint64_t session, int cause) {
+  Session *record = find(session);
+  if (!record) return;
+  add_note(session, format_text("client is told that its session is over, cause %d", cause));
+  if (record->end_reported_at < 0) {
+    record->end_reported_at = now();
+    ++counts_.ends_reported;
+  }
 }
 
-void Ledger::client_ends(std::uint64_t session) {
-  if (Session *its = find(session)) its->client_ends_at = now();
-  note(session, "client ends its session");
+void Ledger::client_ended_session(std::uint64_t session) {
+  if (Session *record = find(session)) record->client_ended_at = now();
+  add_note(session, "client ends its session");
 }
 
-void Ledger::handed_over(std::uint64_t session) {
-  Session *its = find(session);
-  if (!its) return;
+void Ledger::session_handed_over(std::uint64_t session) {
+  Session *record = find(session);
+  if (!record) return;
   ++counts_.handed_over;
-  its->handed_at = now(), its->life = process(its->front).life, its->release_at = -1,
-  its->client_connected = true;
-  note(session, "handed over to the front end that came back");
+  record->handed_over_at = now();
+  record->generation = process_of(record->front).generation;
+  record->server_release_at = -1;
+  record->client_connected = true;
+  add_note(session, "handed over to the front end that came back");
 }
 
-// ---- Servers.
+// ---- Events that servers observe.
 
 void Ledger::attempt_arrived(std::uint64_t session, int server, int rung, int front,
                              double connection_since) {
   ++counts_.attempts;
-  Session *its = find(session);
-  if (!its) return violate(Rule::lost, 0, "a set-up that no client sent");
-  note(session, text_of("server %d has a set-up from front end %d, rung %d", server, front, rung));
-  if (its->life != process(front).life) return; // of a life that has ended: it was on its way
-  for (std::size_t a = 0; a < its->attempts.size(); ++a) {
-    if (its->attempts[a].ended < 0) checks_.push_back({now() + kSlack, session, a});
+  Session *record = find(session);
+  if (!record) return violate(Rule::lost, 0, "a set-up that no client sent");
+  add_note(session, format_text("server %d has a set-up from front end %d, rung %d", server, front, rung));
+  // A set-up of a process that has ended was still in transit and is not judged.
+  if (record->generation != process_of(front).generation) return;
+  for (std::size_t a = 0; a < record->attempts.size(); ++a) {
+    if (record->attempts[a].ended < 0) duplicate_checks_.push_back({now() + kSlack, session, a});
   }
-  if (!its->attempts.empty()) {
-    check_repeat(session, *its);
+  if (!record->attempts.empty()) {
+    check_retry(session, *record);
     check_budget(session, front);
   }
-  check_after_leaving(session, *its, connection_since);
+  check_after_giving_up(session, *record, connection_since);
   check_drain(session, server, front);
   check_cold(session, server, front);
-  const ServiceClass &terms = scenario_.deployment.classes[static_cast<std::size_t>(its->service_class)];
-  if (rung < terms.floor || rung > its->top)
-    violate(Rule::floor, session, text_of("rung %d is not allowed", rung));
-  check_seats(session, *its);
-  its->attempts.push_back({server, now(), -1, true});
+  const ServiceClass &service_class =
+      scenario_.deployment.classes[static_cast<std::size_t>(record->service_class)];
+  if (rung < service_class.floor || rung > record->top_rung)
+    violate(Rule::floor, session, format_text("rung %d is not allowed", rung));
+  check_seats(session, *record);
+  record->attempts.push_back({server, now(), -1, true});
 }
 
 void Ledger::attempt_ended(std::uint64_t session, int server, bool never_ran, const char *how) {
-  Session *its = find(session);
-  if (!its) return;
-  if (breaks(scenario_, Rule::duplicate) && std::string_view(how) == "given up") return; // as if never told
-  note(session, text_of("server %d: the set-up ends (%s)", server, how));
-  for (Attempt &one : its->attempts) {
-    if (one.server == server && one.ended < 0) one.ended = now(), one.may_have_run = !never_ran;
+  Session *record = find(session);
+  if (!record) return;
+  // Breaks the rule on purpose: the record of the end is withheld.
+  if (breaks_on_purpose(scenario_, Rule::duplicate) && std::string_view(how) == "given up") return;
+  add_note(session, format_text("server %d: the set-up ends (%s)", server, how));
+  for (Attempt &attempt : record->attempts) {
+    if (attempt.server == server && attempt.ended < 0) {
+      attempt.ended = now();
+      attempt.may_have_run = !never_ran;
+    }
   }
 }
 
 void Ledger::session_active(std::uint64_t session, int server, std::uint32_t id,
                             const std::string &description) {
-  Session *its = find(session);
-  if (!its) return;
-  its->server = server, its->server_id = id, its->active_at = now(), its->over_at = -1;
-  its->descriptions.push_back(description);
-}
-
-void Ledger::session_over(std::uint64_t session, int server, const char *how) {
-  Session *its = find(session);
-  if (!its || its->server != server || its->over_at >= 0) return;
-  its->over_at = now();
-  note(session, text_of("server %d: the session is over (%s)", server, how));
-}
-
-// A server whose answer was given up may hold the session as well, and releases it: that says nothing of the
-// active one.
-void Ledger::release_written(std::uint64_t session, int server) {
-  Session *its = find(session);
-  if (!its || its->server != server) return;
-  if (its->release_at < 0) its->release_at = now();
-  note(session, "server has written its release");
-}
-
-void Ledger::front_released(std::uint64_t session, int server) {
-  Session *its = find(session);
-  if (!its) return;
-  note(session, text_of("server %d has the front end's release", server));
-  if (its->server == server)
-    its->released_by_front = true, its->over_at = its->over_at < 0 ? now() : its->over_at;
+  Session *record = find(session);
+  if (!record) return;
+  record->server = server;
+  record->server_id = id;
+  record->active_at = now();
+  record->ended_at = -1;
+  record->descriptions.push_back(description);
+}
+
+void Ledger::session_ended(std::uint64_t session, int server, const char *how) {
+  Session *record = find(session);
+  if (!record || record->server != server || record->ended_at >= 0) return;
+  record->ended_at = now();
+  add_note(session, format_text("server %d: the session is over (%s)", server, how));
+}
+
+// A server whose attempt was given up may hold the session too and release it. Such a release says nothing
+// about the active session and is ignored.
+void Ledger::server_release_written(std::uint64_t session, int server) {
+  Session *record = find(session);
+  if (!record || record->server != server) return;
+  if (record->server_release_at < 0) record->server_release_at = now();
+  add_note(session, "server has written its release");
+}
+
+void Ledger::front_release_received(std::uint64_t session, int server) {
+  Session *record = find(session);
+  if (!record) return;
+  add_note(session, format_text("server %d has the front end's release", server));
+  if (record->server == server) {
+    record->released_by_front = true;
+    record->ended_at = record->ended_at < 0 ? now() : record->ended_at;
+  }
 }
 
-// ---- Discovery.
+// ---- Events of discovery.
 
 void Ledger::server_started(int server, int first_change, bool cold) {
   if (static_cast<std::size_t>(server) >= servers_.size())
     servers_.resize(static_cast<std::size_t>(server) + 1);
-  Server &its = servers_[static_cast<std::size_t>(server)];
-  its = {};
-  its.boot = cold ? now() : -1;
-  its.start_change = first_change;
+  Server &record = servers_[static_cast<std::size_t>(server)];
+  record = {};
+  record.cold_since = cold ? now() : -1;
+  record.start_change = first_change;
 }
 
-void Ledger::server_leaves(int server, int change) {
-  Server &its = servers_[static_cast<std::size_t>(server)];
-  if (its.leaves_change == 0) its.leaves_change = change;
+void Ledger::server_leaving(int server, int change) {
+  Server &record = servers_[static_cast<std::size_t>(server)];
+  if (record.leave_change == 0) record.leave_change = change;
 }
 
-void Ledger::server_returns(int server) { servers_[static_cast<std::size_t>(server)].leaves_change = 0; }
+void Ledger::server_reactivated(int server) { servers_[static_cast<std::size_t>(server)].leave_change = 0; }
 
-void Ledger::change_made(int change) {
-  made_.resize(static_cast<std::size_t>(change) + 1, now());
-  made_.back() = now();
+void Ledger::list_change_made(int change) {
+  change_made_at_.resize(static_cast<std::size_t>(change) + 1, now());
+  change_made_at_.back() = now();
 }
 
-void Ledger::change_told(int front, int change) {
-  std::vector<double> &told = process(front).told;
-  if (told.size() <= static_cast<std::size_t>(change)) told.resize(static_cast<std::size_t>(change) + 1, -1);
-  for (std::size_t c = told.size(); c-- > 0 && told[c] < 0;) told[c] = now();
+void Ledger::list_change_delivered(int front, int change) {
+  std::vector<double> &delivered = process_of(front).change_delivered_at;
+  if (delivered.size() <= static_cast<std::size_t>(change))
+    delivered.resize(static_cast<std::size_t>(change) + 1, -1);
+  for (std::size_t c = delivered.size(); c-- > 0 && delivered[c] < 0;) delivered[c] = now();
 }
 
 void Ledger::discovery_reachable(int front, bool reachable) {
-  process(front).reachable_from = reachable ? now() : INFINITY;
+  process_of(front).discovery_reachable_since = reachable ? now() : INFINITY;
 }
 
-void Ledger::discovery_silent(int front, bool silent) { process(front).silent_from = silent ? now() : -1; }
+void Ledger::discovery_silent(int front, bool silent) {
+  process_of(front).discovery_silent_since = silent ? now() : -1;
+}
 
-// When a change counts as told: once it was written to the front end, or by the bound for calls that fail.
-double Ledger::told_at(int front, int change) const {
-  const Process &its = processes_[static_cast<std::size_t>(front)];
-  double written =
-      static_cast<std::size_t>(change) < its.told.size() ? its.told[static_cast<std::size_t>(change)] : -1;
-  double from = std::max(made_[static_cast<std::size_t>(change)], its.started_at);
-  double bound = std::max(from, its.reachable_from) + kToldByNewCall;
-  if (its.silent_from >= 0 && its.reachable_from <= from)
-    bound = std::min(bound, std::max(from, its.silent_from) + kToldAfterSilence);
+// Returns the time from which the front end counts as knowing the change: when the change was written to it,
+// or, where discovery failed, the time by which it has to have connected anew, whichever is earlier.
+double Ledger::change_known_at(int front, int change) const {
+  const Process &record = processes_[static_cast<std::size_t>(front)];
+  double written = static_cast<std::size_t>(change) < record.change_delivered_at.size()
+                       ? record.change_delivered_at[static_cast<std::size_t>(change)]
+                       : -1;
+  double from = std::max(change_made_at_[static_cast<std::size_t>(change)], record.started_at);
+  double bound = std::max(from, record.discovery_reachable_since) + kKnownAfterNewConnection;
+  if (record.discovery_silent_since >= 0 && record.discovery_reachable_since <= from)
+    bound = std::min(bound, std::max(from, record.discovery_silent_since) + kKnownAfterSilence);
   return written >= 0 ? std::min(written, bound) : bound;
 }
 
 // ---- Checks of one attempt.
 
-void Ledger::check_repeat(std::uint64_t session, const Session &its) {
-  const ServiceClass &terms = scenario_.deployment.classes[static_cast<std::size_t>(its.service_class)];
-  bool ran = std::ranges::any_of(its.attempts, [](const Attempt &one) { return one.may_have_run; });
-  if (ran && !terms.may_repeat())
+void Ledger::check_retry(std::uint64_t session, const Session &record) {
+  const ServiceClass &service_class =
+      scenario_.deployment.classes[static_cast<std::size_t>(record.service_class)];
+  bool ran =
+      std::ranges::any_of(record.attempts, [](const Attempt &attempt) { return attempt.may_have_run; });
+  if (ran && !service_class.safe_to_repeat())
     violate(Rule::unsafe_repeat, session, "sent again though an attempt may have run");
-  if (static_cast<int>(its.attempts.size()) >= scenario_.deployment.attempts)
+  if (static_cast<int>(record.attempts.size()) >= scenario_.deployment.max_attempts)
     violate(Rule::budget, session, "more attempts than one request may have");
 }
 
 void Ledger::check_budget(std::uint64_t session, int front) {
   const Deployment &d = scenario_.deployment;
-  Process &its = process(front);
-  double at = now();
-  its.repeats.push_back(at);
-  while (!its.repeats.empty() && its.repeats.front() <= at - d.retry_span + 2 * kSlack)
-    its.repeats.pop_front();
-  while (!its.asks.empty() && its.asks.front() < at - d.retry_span - 2 * kSlack) its.asks.pop_front();
-  double allowed = d.retry_free + d.retry_share * static_cast<double>(its.asks.size());
-  if (static_cast<double>(its.repeats.size()) > allowed)
+  Process &record = process_of(front);
+  double time = now();
+  record.retry_times.push_back(time);
+  while (!record.retry_times.empty() && record.retry_times.front() <= time - d.retry_window + 2 * kSlack)
+    record.retry_times.pop_front();
+  while (!record.request_times.empty() && record.request_times.front() < time - d.retry_window - 2 * kSlack)
+    record.request_times.pop_front();
+  double allowed = d.retry_allowance + d.retry_ratio * static_cast<double>(record.request_times.size());
+  if (static_cast<double>(record.retry_times.size()) > allowed)
     violate(Rule::budget, session,
-            text_of("%zu retries within the span, %.1f are allowed", its.repeats.size(), allowed));
+            format_text("%zu retries within the span, %.1f are allowed", record.retry_times.size(), allowed));
 }
 
-void Ledger::check_after_leaving(std::uint64_t session, const Session &its, double connection_since) {
-  if (its.left_at < 0) return;
-  double after = now() - its.left_at;
-  bool waited = connection_since > its.left_at; // for a connection to come up
-  if (after <= kGone + kSlack) return;
-  ++counts_.begun_after_leaving;
-  if (!waited || after > kGoneWaited + kSlack)
+void Ledger::check_after_giving_up(std::uint64_t session, const Session &record, double connection_since) {
+  if (record.gave_up_at < 0) return;
+  double after = now() - record.gave_up_at;
+  // Whether the attempt had to wait for a new connection.
+  bool waited = connection_since > record.gave_up_at;
+  if (after <= kGaveUpGrace + kSlack) return;
+  ++counts_.attempts_after_giving_up;
+  if (!waited || after > kGaveUpGraceNewConnection + kSlack)
     violate(Rule::gone, session,
-            text_of("an attempt %.3f s after its client left%s", after, waited ? ", it waited" : ""));
+            format_text("an attempt %.3f s after its client left%s", after, waited ? ", it waited" : ""));
 }
 
 void Ledger::check_drain(std::uint64_t session, int server, int front) {
-  const Server &its = servers_[static_cast<std::size_t>(server)];
-  if (its.leaves_change == 0) return;
-  double told = told_at(front, its.leaves_change);
-  double after = now() - told;
+  const Server &record = servers_[static_cast<std::size_t>(server)];
+  if (record.leave_change == 0) return;
+  double known_at = change_known_at(front, record.leave_change);
+  double after = now() - known_at;
   if (after > scenario_.deployment.drain_grace + kSlack)
     violate(Rule::drain, session,
-            text_of("set up at server %d %.3f s after front end %d was told that it leaves (change %d)",
-                    server, after, front, its.leaves_change));
+            format_text("set up at server %d %.3f s after front end %d was told that it leaves (change %d)",
+                        server, after, front, record.leave_change));
 }
 
 void Ledger::check_cold(std::uint64_t session, int server, int front) {
   const Deployment &d = scenario_.deployment;
-  Server &its = servers_[static_cast<std::size_t>(server)];
-  double at = now();
-  if (its.boot < 0 || at - its.boot > d.warm_up) return;
-  its.arrivals.emplace_back(at, told_at(front, its.start_change) <= at);
-  while (its.arrivals.front().first <= at - d.fall_span) its.arrivals.pop_front();
-  double share = d.cold_share + (1 - d.cold_share) * (at - its.boot) / d.warm_up;
-  double budget = d.fall_multiple * share * d.fall_span * d.places / d.warm_up;
-  double bears = budget + 2 * std::sqrt(budget) + 2;
-  double arrived = static_cast<double>(its.arrivals.size());
-  if (its.fallen || arrived <= bears) return;
-  its.fallen = true;
-  auto told = std::ranges::count_if(its.arrivals, [](const auto &one) { return one.second; });
-  if (static_cast<double>(told) > kToldShare * arrived)
-    violate(Rule::cold, session,
-            text_of("server %d falls under %.0f set-ups, %.1f are borne, %ld from front ends that were told",
-                    server, arrived, bears, static_cast<long>(told)));
-}
-
-void Ledger::check_seats(std::uint64_t session, const Session &its) {
-  int seats = breaks(scenario_, Rule::seats)
+  Server &record = servers_[static_cast<std::size_t>(server)];
+  double time = now();
+  if (record.cold_since < 0 || time - record.cold_since > d.warm_up_time) return;
+  record.arrivals.emplace_back(time, change_known_at(front, record.start_change) <= time);
+  while (record.arrivals.front().first <= time - d.overload_window) record.arrivals.pop_front();
+  double share =
+      d.cold_capacity_share + (1 - d.cold_capacity_share) * (time - record.cold_since) / d.warm_up_time;
+  double expected = d.overload_multiple * share * d.overload_window * d.slots_per_server / d.warm_up_time;
+  double tolerated = expected + 2 * std::sqrt(expected) + 2;
+  double arrived = static_cast<double>(record.arrivals.size());
+  if (record.overload_judged || arrived <= tolerated) return;
+  record.overload_judged = true;
+  auto informed = std::ranges::count_if(record.arrivals, [](const auto &arrival) { return arrival.second; });
+  if (static_cast<double>(informed) > kInformedShare * arrived)
+    violate(
+        Rule::cold, session,
+        format_text("server %d falls under %.0f set-ups, %.1f are borne, %ld from front ends that were told",
+                    server, arrived, tolerated, static_cast<long>(informed)));
+}
+
+void Ledger::check_seats(std::uint64_t session, const Session &record) {
+  int seats = breaks_on_purpose(scenario_, Rule::seats)
                   ? 1
-                  : scenario_.deployment.classes[static_cast<std::size_t>(its.service_class)].seats;
+                  : scenario_.deployment.classes[static_cast<std::size_t>(record.service_class)].seats;
   if (seats <= 0) return;
   int used = 0;
   for (const auto &[id, other] : sessions_) {
-    if (id == session || other.front != its.front || other.life != its.life || other.title != its.title ||
-        other.service_class != its.service_class)
+    if (id == session || other.front != record.front || other.generation != record.generation ||
+        other.title != record.title || other.service_class != record.service_class)
       continue;
-    bool out = !other.attempts.empty() && other.attempts.back().ended < 0 && other.left_at < 0;
-    bool active = other.answer == Answer::active && other.over_at < 0 && other.client_ends_at < 0 &&
-                  other.told_over_at < 0;
-    used += out || active;
+    bool open = !other.attempts.empty() && other.attempts.back().ended < 0 && other.gave_up_at < 0;
+    bool active = other.answer == Answer::active && other.ended_at < 0 && other.client_ended_at < 0 &&
+                  other.end_reported_at < 0;
+    used += open || active;
   }
   if (used >= seats)
-    violate(Rule::seats, session, text_of("%d sessions of the title already, %d seats", used, seats));
+    violate(Rule::seats, session, format_text("%d sessions of the title already, %d seats", used, seats));
 }
 
-void Ledger::look(double at) {
-  while (!checks_.empty() && checks_.front().at <= at) {
-    Check check = checks_.front();
-    checks_.pop_front();
-    Session *its = find(check.session);
-    const Attempt &one = its->attempts[check.attempt];
-    bool in_time = one.ended >= 0 && one.ended <= check.at;
+void Ledger::run_due_checks(double time) {
+  while (!duplicate_checks_.empty() && duplicate_checks_.front().due <= time) {
+    DuplicateCheck check = duplicate_checks_.front();
+    duplicate_checks_.pop_front();
+    Session *record = find(check.session);
+    const Attempt &attempt = record->attempts[check.attempt];
+    bool in_time = attempt.ended >= 0 && attempt.ended <= check.due;
     if (!in_time)
       violate(Rule::duplicate, check.session,
-              text_of("another attempt while the one at server %d was out", one.server));
+              format_text("another attempt while the one at server %d was open", attempt.server));
   }
 }
 
@@ -384,134 +432,144 @@
   return it == sessions_.end() ? 0 : it->second.server_id;
 }
 
-// ---- Processes.
+// ---- Events of front-end processes.
 
 void Ledger::front_started(int front) {
-  Process &its = process(front);
-  ++its.life;
-  its.alive = true;
-  its.started_at = now(), its.ready_at = its.term_at = its.died_at = -1;
-  its.told.assign(made_.size(), now());
-  its.asks.clear(), its.repeats.clear();
-  if (its.life > 1) ++counts_.restarts;
+  Process &record = process_of(front);
+  ++record.generation;
+  record.running = true;
+  record.started_at = now();
+  record.ready_at = record.sigterm_at = record.exited_at = -1;
+  record.change_delivered_at.assign(change_made_at_.size(), now());
+  record.request_times.clear(), record.retry_times.clear();
+  if (record.generation > 1) ++counts_.restarts;
 }
 
 void Ledger::front_ready(int front) {
-  Process &its = process(front);
-  if (its.ready_at >= 0) return;
-  its.ready_at = now();
-  if (its.life > 1 && now() - its.started_at > kReadyWithin) ++counts_.ready_late;
+  Process &record = process_of(front);
+  if (record.ready_at >= 0) return;
+  record.ready_at = now();
+  if (record.generation > 1 && now() - record.started_at > kRestartReadyTime) ++counts_.late_restarts;
 }
 
-void Ledger::front_terminates(int front) { process(front).term_at = now(); }
+void Ledger::front_sigterm_sent(int front) { process_of(front).sigterm_at = now(); }
 
 void Ledger::front_killed(int front) {
-  Process &its = process(front);
-  its.alive = false, its.died_at = now();
+  Process &record = process_of(front);
+  record.running = false;
+  record.exited_at = now();
   for (auto &[id, session] : sessions_) {
-    if (session.front != front || session.life != its.life) continue;
-    excuse(id, "its front end was killed");
+    if (session.front != front || session.generation != record.generation) continue;
+    waive_answer(id, "its front end was killed");
   }
 }
 
-void Ledger::front_gone(int front, bool planned, bool killed_late, int status) {
-  Process &its = process(front);
-  its.alive = false, its.died_at = now();
+void Ledger::front_exited(int front, bool planned, bool killed_late, int status) {
+  Process &record = process_of(front);
+  record.running = false;
+  record.exited_at = now();
   if (killed_late)
-    violate(Rule::owed_at_exit, 0, text_of("front end %d was still there at the earliest kill", front));
+    violate(Rule::owed_at_exit, 0, format_text("front end %d was still there at the earliest kill", front));
   bool clean = killed_late || (planned && WIFEXITED(status) && WEXITSTATUS(status) == 0);
   if (!clean)
-    violate(
-        Rule::crash, 0,
-        text_of("front end %d ended %s, status %d", front, planned ? "after SIGTERM" : "by itself", status));
+    violate(Rule::crash, 0,
+            format_text("front end %d ended %s, status %d", front, planned ? "after SIGTERM" : "by itself",
+                        status));
 }
 
-void Ledger::front_uses(int front, double resident_mb, int descriptors) {
+void Ledger::check_usage(int front, double resident_mb, int descriptors) {
   const Deployment &d = scenario_.deployment;
-  if (breaks(scenario_, Rule::limit)) descriptors += d.sockets;
+  if (breaks_on_purpose(scenario_, Rule::limit)) descriptors += d.sockets;
   if (resident_mb > d.memory_mb)
-    violate(Rule::limit, 0, text_of("front end %d holds %.1f MB", front, resident_mb));
+    violate(Rule::limit, 0, format_text("front end %d holds %.1f MB", front, resident_mb));
   if (descriptors > d.sockets)
-    violate(Rule::limit, 0, text_of("front end %d holds %d descriptors", front, descriptors));
+    violate(Rule::limit, 0, format_text("front end %d holds %d descriptors", front, descriptors));
 }
 
-void Ledger::front_denied(int front, const std::string &line) {
-  violate(Rule::denied, 0, text_of("front end %d: ", front) + line);
+void Ledger::guard_denial_logged(int front, const std::string &line) {
+  violate(Rule::denied, 0, format_text("front end %d: ", front) + line);
 }
 
-// ---- The end of the run.
+// ---- Checks at the end of the run.
 
-void Ledger::judge_answer(std::uint64_t session, Session &its) {
-  if (its.answer != Answer::none || its.left_at >= 0 || its.excused || its.written_at < 0) return;
-  if (now() - its.written_at > its.time + kLateAnswer + kSlack)
+void Ledger::judge_answer(std::uint64_t session, Session &record) {
+  if (record.answer != Answer::none || record.gave_up_at >= 0 || record.answer_waived ||
+      record.written_at < 0)
+    return;
+  if (now() - record.written_at > record.time_limit + kAnswerGrace + kSlack)
     violate(Rule::lost, session, "no answer at all");
 }
 
-// An active session that came to its end has to be released towards its client, and one that its client ended
-// towards its server.
-void Ledger::judge_release(std::uint64_t session, Session &its) {
-  if (its.answer != Answer::active || its.left_at >= 0) return;
-  const Process &front = process(its.front);
-  if (its.life != front.life || !front.alive) return; // never handed over again
-  bool client_done = its.client_ends_at >= 0 || its.told_over_at >= 0;
-  double handed = its.handed_at >= 0 ? its.handed_at + kHandOverCounts : -1;
-  if (its.over_at >= 0 && its.client_ends_at < 0 && !its.released_by_front) {
-    double due = std::max(its.over_at, handed) + kEndWithin + kSlack;
-    if (its.release_at >= 0 && its.client_connected)
-      due = std::min(due, std::max(its.release_at, handed) + kReleaseWithin + kSlack);
-    double told = its.told_over_at >= 0 ? its.told_over_at : now();
-    if (told > due)
+// The end of an active session has to be passed on to its client, and a release by the client to the server.
+void Ledger::judge_release(std::uint64_t session, Session &record) {
+  if (record.answer != Answer::active || record.gave_up_at >= 0) return;
+  const Process &front = process_of(record.front);
+  // The session was not handed over after a restart.
+  if (record.generation != front.generation || !front.running) return;
+  bool client_informed = record.client_ended_at >= 0 || record.end_reported_at >= 0;
+  double handed_over = record.handed_over_at >= 0 ? record.handed_over_at + kHandOverDelay : -1;
+  if (record.ended_at >= 0 && record.client_ended_at < 0 && !record.released_by_front) {
+    double due = std::max(record.ended_at, handed_over) + kUnannouncedEndTime + kSlack;
+    if (record.server_release_at >= 0 && record.client_connected)
+      due = std::min(due, std::max(record.server_release_at, handed_over) + kReleaseForwardingTime + kSlack);
+    double reported = record.end_reported_at >= 0 ? record.end_reported_at : now();
+    if (reported > due)
       violate(Rule::release, session,
-              text_of("its end came %.2f s late to its client%s", told - due,
-                      its.told_over_at < 0 ? ", or never" : ""));
+              format_text("its end came %.2f s late to its client%s", reported - due,
+                          record.end_reported_at < 0 ? ", or never" : ""));
   }
-  if (its.over_at < 0 && its.client_ends_at >= 0 && client_done &&
-      now() > std::max(its.client_ends_at, handed) + kEndWithin + kSlack)
-    violate(Rule::release, session, text_of("its client ended it, server %d still holds it", its.server));
-}
-
-void Ledger::close() {
-  if (closed_) return;
-  closed_ = true;
-  look(now() + 1);
-  for (auto &[id, its] : sessions_) {
-    judge_answer(id, its);
-    judge_release(id, its);
+  if (record.ended_at < 0 && record.client_ended_at >= 0 && client_informed &&
+      now() > std::max(record.client_ended_at, handed_over) + kUnannouncedEndTime + kSlack)
+    violate(Rule::release, session,
+            format_text("its client ended it, server %d still holds it", record.server));
+}
+
+void Ledger::finish() {
+  if (finished_) return;
+  finished_ = true;
+  run_due_checks(now() + 1);
+  for (auto &[id, record] : sessions_) {
+    judge_answer(id, record);
+    judge_release(id, record);
   }
-  if (static_cast<double>(counts_.begun_after_leaving) > kGoneShare * static_cast<double>(counts_.left))
+  if (static_cast<double>(counts_.attempts_after_giving_up) >
+      kMaxLateAttemptShare * static_cast<double>(counts_.given_up))
     violate(Rule::gone, 0,
-            text_of("%llu attempts began late after %llu clients had left",
-                    static_cast<unsigned long long>(counts_.begun_after_leaving),
-                    static_cast<unsigned long long>(counts_.left)));
-  for (const Process &its : processes_) {
-    if (its.alive && its.ready_at < 0 && its.life > 1 && now() - its.started_at > kReadyWithin)
-      ++counts_.ready_late;
+            format_text("%llu attempts began late after %llu clients had left",
+                        static_cast<unsigned long long>(counts_.attempts_after_giving_up),
+                        static_cast<unsigned long long>(counts_.given_up)));
+  for (const Process &record : processes_) {
+    if (record.running && record.ready_at < 0 && record.generation > 1 &&
+        now() - record.started_at > kRestartReadyTime)
+      ++counts_.late_restarts;
   }
-  if (static_cast<double>(counts_.ready_late) >
-      kReadyShare * static_cast<double>(std::max<std::uint64_t>(counts_.restarts, 1)))
+  if (static_cast<double>(counts_.late_restarts) >
+      kMaxLateRestartShare * static_cast<double>(std::max<std::uint64_t>(counts_.restarts, 1)))
     violate(Rule::ready, 0,
-            text_of("%llu of %llu restarts were ready late",
-                    static_cast<unsigned long long>(counts_.ready_late),
-                    static_cast<unsigned long long>(counts_.restarts)));
+            format_text("%llu of %llu restarts were ready late",
+                        static_cast<unsigned long long>(counts_.late_restarts),
+                        static_cast<unsigned long long>(counts_.restarts)));
 }
 
 std::string Ledger::timeline(std::uint64_t session) const {
   auto it = sessions_.find(session);
   if (it == sessions_.end()) return "";
-  std::string out = text_of("  session %016llx:\n", static_cast<unsigned long long>(session));
-  for (const Note &one : it->second.notes) out += text_of("    %9.4f  ", one.at - start_) + one.text + "\n";
+  std::string out = format_text("  session %016llx:\n", static_cast<unsigned long long>(session));
+  for (const Note &note : it->second.notes)
+    out += format_text("    %9.4f  ", note.time - start_time_) + note.text + "\n";
   return out;
 }
 
 std::string Ledger::summary() const {
-  return text_of(
+  return format_text(
       "%llu asked: %llu active, %llu refused, %llu failed, %llu left, %llu not owed; %llu attempts, %llu "
       "ends told, "
       "%llu handed over, %llu restarts",
-      static_cast<unsigned long long>(counts_.asked), static_cast<unsigned long long>(counts_.active),
+      static_cast<unsigned long long>(counts_.requests), static_cast<unsigned long long>(counts_.active),
       static_cast<unsigned long long>(counts_.refused), static_cast<unsigned long long>(counts_.failed),
-      static_cast<unsigned long long>(counts_.left), static_cast<unsigned long long>(counts_.excused),
-      static_cast<unsigned long long>(counts_.attempts), static_cast<unsigned long long>(counts_.over),
+      static_cast<unsigned long long>(counts_.given_up), static_cast<unsigned long long>(counts_.waived),
+      static_cast<unsigned long long>(counts_.attempts),
+      static_cast<unsigned long long>(counts_.ends_reported),
       static_cast<unsigned long long>(counts_.handed_over),
       static_cast<unsigned long long>(counts_.restarts));
 }
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-constexpr double kCountedDeadline =
-    3;                             // the longest deadline counts as this where it is longer (protocol page)
-constexpr double kKillAfter = 0.7; // and SIGKILL comes no sooner than so long after it (likewise)
-constexpr double kFirstFault = 3;  // seconds of traffic without faults
-constexpr double kLastFault = 4;   // no fault begins in the last seconds
+// The protocol page counts the longest deadline as at most 3 s, and lets SIGKILL follow SIGTERM no sooner
+// than 0.7 s after that deadline.
+constexpr double kMaxCountedDeadline = 3;
+constexpr double kKillDelay = 0.7;
+// Seconds at the start and at the end of the traffic in which no fault begins.
+constexpr double kFaultFreeStart = 3;
+constexpr double kFaultFreeEnd = 4;
 
 constexpr const char *kFaultNames[] = {"term_series",      "kill",
                                        "reload_series",    "discovery_down",
@@ -26,115 +28,116 @@
                                        "single_bytes",     "slow_answers",
                                        "spoilt_answers",   "idle_clients",
                                        "bad_clients"};
-static_assert(std::size(kFaultNames) == kFaultKinds);
+static_assert(std::size(kFaultNames) == kFaultKindCount);
 
-std::vector<ServiceClass> draw_classes(Chance &chance, double deadline) {
+std::vector<ServiceClass> draw_classes(SeededRng &rng, double deadline) {
   constexpr double kDeadlines[] = {0.3, 0.4, 0.8, 1.2, 3, 4, 10};
   std::vector<ServiceClass> out;
-  int count = chance.whole(1, 3);
+  int count = rng.uniform_int(1, 3);
   for (int c = 0; c < count; ++c) {
-    ServiceClass one;
-    one.name = c == 0 ? "live" : c == 1 ? "paid" : "back ground";
-    one.effect = c == 1 ? (chance.happens(0.5) ? "keyed" : "unsafe") : "safe";
-    one.deadline = deadline > 0 ? deadline : kDeadlines[chance.whole(0, 6)];
-    one.on_time = one.deadline * chance.between(0.4, 0.9);
-    one.floor = chance.whole(0, 1);
-    one.top = 3;
-    one.seats = c == 2 && chance.happens(0.5) ? chance.whole(2, 6) : 0;
-    out.push_back(one);
+    ServiceClass service_class;
+    service_class.name = c == 0 ? "live" : c == 1 ? "paid" : "back ground";
+    service_class.effect = c == 1 ? (rng.bernoulli(0.5) ? "keyed" : "unsafe") : "safe";
+    service_class.deadline = deadline > 0 ? deadline : kDeadlines[rng.uniform_int(0, 6)];
+    service_class.on_time = service_class.deadline * rng.uniform(0.4, 0.9);
+    service_class.floor = rng.uniform_int(0, 1);
+    service_class.top = 3;
+    service_class.seats = c == 2 && rng.bernoulli(0.5) ? rng.uniform_int(2, 6) : 0;
+    out.push_back(service_class);
   }
   return out;
 }
 
-Deployment draw_deployment(Chance &chance, const Choices &choices) {
+Deployment draw_deployment(SeededRng &rng, const ScenarioOverrides &overrides) {
   constexpr int kServers[] = {20, 40, 60, 120, 200, 400, 800};
   Deployment out;
-  out.front_ends = choices.front_ends > 0 ? choices.front_ends : chance.whole(10, 16);
-  out.servers = choices.servers > 0 ? choices.servers : kServers[chance.whole(0, 6)];
-  out.cells = std::max(1, out.servers / chance.whole(3, 5));
+  out.front_ends = overrides.front_ends > 0 ? overrides.front_ends : rng.uniform_int(10, 16);
+  out.servers = overrides.servers > 0 ? overrides.servers : kServers[rng.uniform_int(0, 6)];
+  out.cells = std::max(1, out.servers / rng.uniform_int(3, 5));
   out.racks = std::max(1, out.servers / 9);
-  out.zones = chance.whole(1, 2);
+  out.zones = rng.uniform_int(1, 2);
   constexpr double kShares[] = {1, 0.5, 0.25};
-  out.core_share = kShares[chance.whole(0, 2)];
-  if (choices.core_share > 0) out.core_share = choices.core_share;
-  out.memory_mb = chance.whole(48, 128);
+  out.core_share = kShares[rng.uniform_int(0, 2)];
+  if (overrides.core_share > 0) out.core_share = overrides.core_share;
+  out.memory_mb = rng.uniform_int(48, 128);
   constexpr int kSockets[] = {128, 256, 512};
-  out.sockets = kSockets[chance.whole(0, 2)];
-  if (choices.sockets > 0) out.sockets = choices.sockets;
-  out.multiplex = chance.whole(4, 32);
-  out.attempts = chance.whole(2, 3);
-  out.probes = chance.happens(0.7);
-  out.idle_close = chance.between(4, 30);
-  out.warm_up = chance.between(5, 10);
-  out.notes_every = chance.between(1, 4);
-  out.retry_share = chance.between(0.1, 0.3);
-  out.retry_free = chance.whole(2, 8);
-  out.classes = draw_classes(chance, choices.deadline);
+  out.sockets = kSockets[rng.uniform_int(0, 2)];
+  if (overrides.sockets > 0) out.sockets = overrides.sockets;
+  out.multiplex = rng.uniform_int(4, 32);
+  out.max_attempts = rng.uniform_int(2, 3);
+  out.probes_enabled = rng.bernoulli(0.7);
+  out.idle_timeout = rng.uniform(4, 30);
+  out.warm_up_time = rng.uniform(5, 10);
+  out.note_interval = rng.uniform(1, 4);
+  out.retry_ratio = rng.uniform(0.1, 0.3);
+  out.retry_allowance = rng.uniform_int(2, 8);
+  out.classes = draw_classes(rng, overrides.deadline);
   return out;
 }
 
-Traffic draw_traffic(Chance &chance, const Choices &choices, double lasts) {
+Traffic draw_traffic(SeededRng &rng, const ScenarioOverrides &overrides, double traffic_duration) {
   Traffic out;
-  out.rate = choices.rate > 0 ? choices.rate : chance.between(2, 10);
-  out.session = chance.between(2, 12);
-  if (choices.session > 0) out.session = choices.session;
-  out.set_up = chance.between(0.03, 0.12);
-  if (chance.happens(0.3)) {
-    out.crowd_at = chance.between(kFirstFault, lasts - kLastFault);
-    out.crowd_lasts = chance.between(1, 3);
-    out.crowd_factor = chance.between(3, 8);
+  out.request_rate = overrides.request_rate > 0 ? overrides.request_rate : rng.uniform(2, 10);
+  out.mean_session_length = rng.uniform(2, 12);
+  if (overrides.mean_session_length > 0) out.mean_session_length = overrides.mean_session_length;
+  out.mean_set_up_time = rng.uniform(0.03, 0.12);
+  if (rng.bernoulli(0.3)) {
+    out.crowd_start = rng.uniform(kFaultFreeStart, traffic_duration - kFaultFreeEnd);
+    out.crowd_duration = rng.uniform(1, 3);
+    out.crowd_factor = rng.uniform(3, 8);
   }
   return out;
 }
 
-Fault draw_fault(Chance &chance, FaultKind kind, double lasts) {
+Fault draw_fault(SeededRng &rng, FaultKind kind, double traffic_duration) {
   Fault out;
   out.kind = kind;
-  out.at = chance.between(kFirstFault, std::max(kFirstFault + 1, lasts - kLastFault));
-  out.lasts = chance.between(1, 7);
-  out.part = chance.between(0.05, 0.4);
-  if (kind == FaultKind::term_series) out.part = chance.between(0.3, 0.9);
-  if (kind == FaultKind::servers_replaced) out.part = chance.between(0.2, 0.6);
-  if (kind == FaultKind::discovery_down) out.lasts = chance.between(2, 9);
+  out.start = rng.uniform(kFaultFreeStart, std::max(kFaultFreeStart + 1, traffic_duration - kFaultFreeEnd));
+  out.duration = rng.uniform(1, 7);
+  out.share = rng.uniform(0.05, 0.4);
+  if (kind == FaultKind::term_series) out.share = rng.uniform(0.3, 0.9);
+  if (kind == FaultKind::servers_replaced) out.share = rng.uniform(0.2, 0.6);
+  if (kind == FaultKind::discovery_down) out.duration = rng.uniform(2, 9);
   return out;
 }
 
 } // namespace
 
-double Chance::exponential(double mean) { return -mean * std::log(1 - between(0, 1)); }
+double SeededRng::exponential(double mean) { return -mean * std::log(1 - uniform(0, 1)); }
 
 double Deployment::longest_deadline() const {
   double longest = 0;
-  for (const ServiceClass &one : classes) longest = std::max(longest, one.deadline);
+  for (const ServiceClass &service_class : classes) longest = std::max(longest, service_class.deadline);
   return longest;
 }
 
-double Deployment::earliest_kill() const {
-  return std::min(longest_deadline(), kCountedDeadline) + kKillAfter;
+double Deployment::earliest_kill_delay() const {
+  return std::min(longest_deadline(), kMaxCountedDeadline) + kKillDelay;
 }
 
 const char *name_of(FaultKind kind) { return kFaultNames[static_cast<int>(kind)]; }
 
-Scenario draw(std::uint64_t seed, const Choices &choices) {
-  Chance chance(seed * 0x9e3779b97f4a7c15ULL + 1);
+Scenario draw_scenario(std::uint64_t seed, const ScenarioOverrides &overrides) {
+  SeededRng rng(seed * 0x9e3779b97f4a7c15ULL + 1);
   Scenario out;
   out.seed = seed;
-  out.lasts = choices.lasts > 0 ? choices.lasts : chance.between(16, 24);
-  out.deployment = draw_deployment(chance, choices);
-  out.traffic = draw_traffic(chance, choices, out.lasts);
-  if (choices.no_faults) {
-    out.traffic.crowd_at = -1;
+  out.traffic_duration = overrides.traffic_duration > 0 ? overrides.traffic_duration : rng.uniform(16, 24);
+  out.deployment = draw_deployment(rng, overrides);
+  out.traffic = draw_traffic(rng, overrides, out.traffic_duration);
+  if (overrides.no_faults) {
+    out.traffic.crowd_start = -1;
     return out;
   }
-  if (!choices.only.empty()) {
-    for (FaultKind kind : choices.only) out.faults.push_back(draw_fault(chance, kind, out.lasts));
+  if (!overrides.only_faults.empty()) {
+    for (FaultKind kind : overrides.only_faults)
+      out.faults.push_back(draw_fault(rng, kind, out.traffic_duration));
   } else {
-    int count = chance.whole(4, 9);
+    int count = rng.uniform_int(4, 9);
     for (int f = 0; f < count; ++f)
-      out.faults.push_back(
-          draw_fault(chance, static_cast<FaultKind>(chance.whole(0, kFaultKinds - 1)), out.lasts));
+      out.faults.push_back(draw_fault(rng, static_cast<FaultKind>(rng.uniform_int(0, kFaultKindCount - 1)),
+                                      out.traffic_duration));
   }
-  std::ranges::sort(out.faults, {}, &Fault::at);
+  std::ranges::sort(out.faults, {}, &Fault::start);
   return out;
 }
 
@@ -145,21 +148,22 @@
       line, sizeof line,
       "seed %llu: %d front ends, %d servers, core share %.2f, %d sockets, %.1f requests/s each, %.0f s",
       static_cast<unsigned long long>(scenario.seed), d.front_ends, d.servers, d.core_share, d.sockets,
-      scenario.traffic.rate, scenario.lasts);
+      scenario.traffic.request_rate, scenario.traffic_duration);
   std::string out = line;
   out += "; classes";
-  for (const ServiceClass &one : d.classes) {
-    std::snprintf(line, sizeof line, " %s/%s/%.1f s", one.name.c_str(), one.effect.c_str(), one.deadline);
+  for (const ServiceClass &service_class : d.classes) {
+    std::snprintf(line, sizeof line, " %s/%s/%.1f s", service_class.name.c_str(),
+                  service_class.effect.c_str(), service_class.deadline);
     out += line;
   }
   out += "; faults";
   for (const Fault &fault : scenario.faults) {
-    std::snprintf(line, sizeof line, " %s@%.1f+%.1f", name_of(fault.kind), fault.at, fault.lasts);
+    std::snprintf(line, sizeof line, " %s@%.1f+%.1f", name_of(fault.kind), fault.start, fault.duration);
     out += line;
   }
-  if (scenario.traffic.crowd_at >= 0) {
-    std::snprintf(line, sizeof line, " crowd@%.1f+%.1fx%.0f", scenario.traffic.crowd_at,
-                  scenario.traffic.crowd_lasts, scenario.traffic.crowd_factor);
+  if (scenario.traffic.crowd_start >= 0) {
+    std::snprintf(line, sizeof line, " crowd@%.1f+%.1fx%.0f", scenario.traffic.crowd_start,
+                  scenario.traffic.crowd_duration, scenario.traffic.crowd_factor);
     out += line;
   }
   return out;
--- a/src/soak/servers.cpp
+++ b/src/soak/servers.cpp
@@ -29,13 +29,14 @@
 StandInServer::StandInServer(asio::io_context &io, const Scenario &scenario, Ledger &ledger, int index,
                              std::uint64_t seed)
     : io_(io), scenario_(scenario), ledger_(ledger), index_(index),
-      id_(static_cast<std::uint32_t>(index) + 1), chance_(seed),
+      id_(static_cast<std::uint32_t>(index) + 1), rng_(seed),
       listener_(io, asio::ip::address_v4(kServerAddresses + static_cast<std::uint32_t>(index)),
                 [this](asio::ip::tcp::socket socket) { accept(std::move(socket)); }) {}
 
 void StandInServer::start(bool as_new) {
   ++life_;
-  runs_ = true, gone_silent_ = false;
+  runs_ = true;
+  gone_silent_ = false;
   started_ms_ = as_new ? unix_ms() : 0;
   faults_->held = false;
   listener_.listen();
@@ -49,7 +50,8 @@
 }
 
 void StandInServer::vanish() {
-  runs_ = false, gone_silent_ = true;
+  runs_ = false;
+  gone_silent_ = true;
   ++life_;
   faults_->held = true;
   listener_.hold(true);
@@ -79,7 +81,7 @@
 void StandInServer::reset_connections(double share) {
   auto links = links_;
   for (const LinkRef &link : links) {
-    if (!chance_.happens(share)) continue;
+    if (!rng_.bernoulli(share)) continue;
     link->wire->reset();
     closed(link);
   }
@@ -141,16 +143,16 @@
                           link->wire->opened_at());
   link->set_ups.insert(session);
   if (behaviour.hangs) return;
-  if (chance_.happens(behaviour.reset_under)) {
-    later(chance_.between(0, 0.03), [this, link] {
+  if (rng_.bernoulli(behaviour.reset_under)) {
+    later(rng_.uniform(0, 0.03), [this, link] {
       link->wire->reset();
       closed(link);
     });
     return;
   }
   double deadline = std::atof(message.header("X-Deadline").c_str()) / 1e3;
-  double takes = 0.005 + chance_.exponential(scenario_.traffic.set_up) + behaviour.extra_delay;
-  if (chance_.happens(behaviour.late)) takes = deadline + chance_.between(0, 0.3);
+  double takes = 0.005 + rng_.exponential(scenario_.traffic.mean_set_up_time) + behaviour.extra_delay;
+  if (rng_.bernoulli(behaviour.late)) takes = deadline + rng_.uniform(0, 0.3);
   later(takes, [this, link, session, deadline] { answer(link, session, deadline); });
 }
 
@@ -159,30 +161,30 @@
   if (link->wire->is_held()) return later(0.05, [this, link, session] { answer(link, session, 0); });
   std::string id = hex16(session);
   link->set_ups.erase(session);
-  bool refuses_often = breaks(scenario_, Rule::gone) || breaks(scenario_, Rule::budget);
-  if (chance_.happens(refuses_often ? kRefusesOften : behaviour.refuses)) {
+  bool refuses_often = breaks_on_purpose(scenario_, Rule::gone) || breaks_on_purpose(scenario_, Rule::budget);
+  if (rng_.bernoulli(refuses_often ? kRefusesOften : behaviour.refuses)) {
     ledger_.attempt_ended(session, index_, true, "full");
     return link->wire->say(rtsp_answer(id, 1, 453, kGauges));
   }
-  if (chance_.happens(behaviour.errors)) {
+  if (rng_.bernoulli(behaviour.errors)) {
     ledger_.attempt_ended(session, index_, false, "error");
     return link->wire->say(rtsp_answer(id, 1, 500));
   }
-  if (chance_.happens(behaviour.spoilt)) {
+  if (rng_.bernoulli(behaviour.spoilt)) {
     ledger_.attempt_ended(session, index_, false, "spoilt answer");
     constexpr const char *kSpoilt[] = {
         "\x01\x02noise\r\n\r\n", "RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: -4\r\n\r\n", "RTSP/1.0 2",
         "RTSP/1.0 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"};
-    return link->wire->say(kSpoilt[chance_.whole(0, 3)]);
+    return link->wire->say(kSpoilt[rng_.uniform_int(0, 3)]);
   }
   std::string description = "v=" + id + ";" + std::to_string(index_);
   ledger_.attempt_ended(session, index_, false, "served");
   ledger_.session_active(session, index_, id_, description);
   Session &its = sessions_[session];
-  its = {link->front, now() + 0.2 + chance_.exponential(scenario_.traffic.session), link};
+  its = {link->front, now() + 0.2 + rng_.exponential(scenario_.traffic.mean_session_length), link};
   std::string text = rtsp_answer(id, 1, 200, kGauges, description);
-  if (chance_.happens(behaviour.doubled))
-    text = rtsp_answer(hex16(chance_.word()), 1, 200, "", "x") + text + text;
+  if (rng_.bernoulli(behaviour.doubled))
+    text = rtsp_answer(hex16(rng_.next_u64()), 1, 200, "", "x") + text + text;
   link->wire->say(text);
 }
 
@@ -190,7 +192,7 @@
   if (link->set_ups.erase(session) > 0) {
     ledger_.attempt_ended(session, index_, false, "given up");
   } else {
-    ledger_.front_released(session, index_);
+    ledger_.front_release_received(session, index_);
     sessions_.erase(session);
     std::erase_if(releases_, [&](const Release &one) { return one.session == session; });
   }
@@ -210,21 +212,21 @@
   if (it == sessions_.end()) return;
   Session its = it->second;
   sessions_.erase(it);
-  ledger_.session_over(session, index_, how);
+  ledger_.session_ended(session, index_, how);
   if (!tells) return;
   auto link = open_link(its.front, its.link);
   if (releases_.size() >= kMostReleases) releases_.erase(releases_.begin());
   releases_.push_back({session, its.front, link != nullptr});
   if (link)
     link->wire->say(rtsp_request("TEARDOWN", hex16(session), "Reason: cause=16\r\n"),
-                    [this, session] { ledger_.release_written(session, index_); });
+                    [this, session] { ledger_.server_release_written(session, index_); });
 }
 
 void StandInServer::say_releases(int front, const LinkRef &opened) {
   for (const Release &one : releases_) {
     if (one.front == front)
       opened->wire->say(rtsp_request("TEARDOWN", hex16(one.session), "Reason: cause=16\r\n"),
-                        [this, session = one.session] { ledger_.release_written(session, index_); });
+                        [this, session = one.session] { ledger_.server_release_written(session, index_); });
   }
   std::erase_if(releases_, [&](const Release &one) { return one.front == front; });
 }
@@ -236,7 +238,7 @@
   for (auto &[session, its] : sessions_) {
     if (at >= its.ends_at) over.push_back(session);
     double &noted_at = noted_at_.try_emplace(its.front, at).first->second;
-    if (behaviour.hangs || at - noted_at < scenario_.deployment.notes_every) continue;
+    if (behaviour.hangs || at - noted_at < scenario_.deployment.note_interval) continue;
     noted_at = at;
     if (auto link = open_link(its.front, its.link))
       link->wire->say(rtsp_request("ANNOUNCE", hex16(session), "X-Outcome: link\r\nP-Amount: 0.3\r\n"));
@@ -246,7 +248,7 @@
   }
   auto links = links_;
   for (const LinkRef &link : links) {
-    if (!link->set_ups.empty() || at - link->used_at < scenario_.deployment.idle_close) continue;
+    if (!link->set_ups.empty() || at - link->used_at < scenario_.deployment.idle_timeout) continue;
     link->wire->close();
     closed(link);
   }
--- a/src/soak/servers.h
+++ b/src/soak/servers.h
@@ -86,7 +86,7 @@
   Ledger &ledger_;
   int index_;
   std::uint32_t id_;
-  Chance chance_;
+  SeededRng rng_;
   std::shared_ptr<WireFaults> faults_ = std::make_shared<WireFaults>();
   Listener listener_;
   std::set<LinkRef> links_;
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -26,9 +26,9 @@
   std::vector<int> some_fronts(double part);
   void every(double seconds, double lasts, std::function<void()> call);
   template <class F> void with_servers(const Fault &fault, F set) { // set(server, on)
-    auto servers = some_servers(fault.part);
+    auto servers = some_servers(fault.share);
     for (int s : servers) set(fleet_.server(s), true);
-    fleet_.later(fault.lasts, [this, servers, set] {
+    fleet_.later(fault.duration, [this, servers, set] {
       for (int s : servers) set(fleet_.server(s), false);
     });
   }
@@ -36,7 +36,7 @@
     if (discovery_in_trouble_) return;
     discovery_in_trouble_ = true;
     set(fleet_.discovery(), true);
-    fleet_.later(fault.lasts, [this, set] {
+    fleet_.later(fault.duration, [this, set] {
       set(fleet_.discovery(), false);
       discovery_in_trouble_ = false;
     });
@@ -56,17 +56,17 @@
   bool discovery_in_trouble_ = false;
 };
 
-std::vector<int> some(Chance &chance, int count, double part) {
+std::vector<int> some(SeededRng &rng, int count, double part) {
   std::vector<int> all(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) all[static_cast<std::size_t>(i)] = i;
   for (int i = count - 1; i > 0; --i)
-    std::swap(all[static_cast<std::size_t>(i)], all[static_cast<std::size_t>(chance.whole(0, i))]);
+    std::swap(all[static_cast<std::size_t>(i)], all[static_cast<std::size_t>(rng.uniform_int(0, i))]);
   all.resize(std::max<std::size_t>(1, static_cast<std::size_t>(part * count)));
   return all;
 }
 
-std::vector<int> Faults::some_servers(double part) { return some(fleet_.chance(), fleet_.servers(), part); }
-std::vector<int> Faults::some_fronts(double part) { return some(fleet_.chance(), fleet_.fronts(), part); }
+std::vector<int> Faults::some_servers(double part) { return some(fleet_.rng(), fleet_.servers(), part); }
+std::vector<int> Faults::some_fronts(double part) { return some(fleet_.rng(), fleet_.fronts(), part); }
 
 void Faults::every(double seconds, double lasts, std::function<void()> call) {
   call();
@@ -76,9 +76,9 @@
 
 void Faults::term_series(const Fault &fault) {
   double at = 0;
-  for (int f : some_fronts(fault.part)) {
+  for (int f : some_fronts(fault.share)) {
     fleet_.later(at, [this, f] { fleet_.terminate(f, true); });
-    at += fleet_.chance().between(0.05, 0.6);
+    at += fleet_.rng().uniform(0.05, 0.6);
   }
 }
 
@@ -86,17 +86,17 @@
   if (discovery_in_trouble_) return;
   fleet_.move_discovery();
   for (int f : some_fronts(0.7)) {
-    int times = fleet_.chance().whole(1, 4);
+    int times = fleet_.rng().uniform_int(1, 4);
     for (int i = 0; i < times; ++i)
-      fleet_.later(fleet_.chance().between(0, 0.6), [this, f] { fleet_.reload(f); });
+      fleet_.later(fleet_.rng().uniform(0, 0.6), [this, f] { fleet_.reload(f); });
   }
 }
 
 void Faults::replace_servers(const Fault &fault) {
-  auto servers = some_servers(fault.part);
-  double step = fault.lasts / static_cast<double>(servers.size()), at = 0;
+  auto servers = some_servers(fault.share);
+  double step = fault.duration / static_cast<double>(servers.size()), at = 0;
   for (int s : servers) {
-    double drains = fleet_.chance().between(0.5, 3), back = fleet_.chance().between(0, 1);
+    double drains = fleet_.rng().uniform(0.5, 3), back = fleet_.rng().uniform(0, 1);
     fleet_.later(at, [this, s] {
       if (fleet_.server(s).runs()) fleet_.announce(s, ServerState::leaving);
     });
@@ -106,49 +106,49 @@
 }
 
 void Faults::drain_and_return(const Fault &fault) {
-  for (int s : some_servers(fault.part)) {
+  for (int s : some_servers(fault.share)) {
     fleet_.announce(s, ServerState::leaving);
-    fleet_.later(fleet_.chance().between(0.05, 3), [this, s] {
+    fleet_.later(fleet_.rng().uniform(0.05, 3), [this, s] {
       if (fleet_.server(s).runs()) fleet_.announce(s, ServerState::active);
     });
   }
 }
 
 void Faults::churn(const Fault &fault) {
-  every(0.05, fault.lasts, [this] {
-    int s = fleet_.chance().whole(0, fleet_.servers() - 1);
+  every(0.05, fault.duration, [this] {
+    int s = fleet_.rng().uniform_int(0, fleet_.servers() - 1);
     if (fleet_.server(s).runs()) fleet_.repeat(s);
   });
 }
 
 void Faults::crash_servers(const Fault &fault) {
-  for (int s : some_servers(fault.part)) {
-    fleet_.later(fleet_.chance().between(0, 1),
-                 [this, s] { fleet_.restart_server(s, fleet_.chance().between(0.1, 3), false); });
+  for (int s : some_servers(fault.share)) {
+    fleet_.later(fleet_.rng().uniform(0, 1),
+                 [this, s] { fleet_.restart_server(s, fleet_.rng().uniform(0.1, 3), false); });
   }
 }
 
 void Faults::vanish_servers(const Fault &fault) {
-  for (int s : some_servers(std::min(fault.part, 0.15))) {
+  for (int s : some_servers(std::min(fault.share, 0.15))) {
     if (!fleet_.server(s).runs()) continue;
     fleet_.server(s).vanish();
-    fleet_.later(fleet_.chance().between(2, 5), [this, s] { fleet_.announce(s, ServerState::left); });
+    fleet_.later(fleet_.rng().uniform(2, 5), [this, s] { fleet_.announce(s, ServerState::left); });
   }
 }
 
 void Faults::cut_front(const Fault &fault) {
-  int front = fleet_.chance().whole(0, fleet_.fronts() - 1);
+  int front = fleet_.rng().uniform_int(0, fleet_.fronts() - 1);
   fleet_.cut(front, true);
-  fleet_.later(fault.lasts, [this, front] { fleet_.cut(front, false); });
+  fleet_.later(fault.duration, [this, front] { fleet_.cut(front, false); });
 }
 
 void Faults::late_connections(const Fault &fault) {
-  auto servers = some_servers(fault.part);
-  every(0.4, fault.lasts, [this, servers] {
+  auto servers = some_servers(fault.share);
+  every(0.4, fault.duration, [this, servers] {
     for (int s : servers) {
       if (!fleet_.server(s).runs()) continue;
       fleet_.server(s).late_connections(true);
-      fleet_.later(fleet_.chance().between(0.05, 0.35), [this, s] {
+      fleet_.later(fleet_.rng().uniform(0.05, 0.35), [this, s] {
         if (fleet_.server(s).runs()) fleet_.server(s).late_connections(false);
       });
     }
@@ -156,12 +156,12 @@
 }
 
 void Faults::begin(const Fault &fault) {
-  Chance &chance = fleet_.chance();
+  SeededRng &rng = fleet_.rng();
   switch (fault.kind) {
   case FaultKind::term_series:
     return term_series(fault);
   case FaultKind::kill:
-    for (int f : some_fronts(fault.part)) fleet_.kill(f, chance.between(0.1, 1));
+    for (int f : some_fronts(fault.share)) fleet_.kill(f, rng.uniform(0.1, 1));
     return;
   case FaultKind::reload_series:
     return reload_series(fault);
@@ -191,8 +191,8 @@
     return cut_front(fault);
   case FaultKind::resets:
     with_servers(fault, [](StandInServer &one, bool on) { one.behaviour.reset_under = on ? 0.1 : 0; });
-    return every(0.2, fault.lasts, [this, fault] {
-      for (int s : some_servers(fault.part / 2)) fleet_.server(s).reset_connections(0.4);
+    return every(0.2, fault.duration, [this, fault] {
+      for (int s : some_servers(fault.share / 2)) fleet_.server(s).reset_connections(0.4);
     });
   case FaultKind::list_churn:
     return churn(fault);
@@ -201,12 +201,13 @@
   case FaultKind::single_bytes:
     return with_servers(fault, [](StandInServer &one, bool on) { one.single_bytes(on); });
   case FaultKind::slow_answers:
-    return with_servers(fault, [delay = chance.between(0.05, 0.6)](StandInServer &one, bool on) {
+    return with_servers(fault, [delay = rng.uniform(0.05, 0.6)](StandInServer &one, bool on) {
       one.behaviour.extra_delay = on ? delay : 0;
     });
   case FaultKind::spoilt_answers:
     return with_servers(fault, [](StandInServer &one, bool on) {
-      one.behaviour.spoilt = on ? 0.1 : 0, one.behaviour.late = on ? 0.1 : 0,
+      one.behaviour.spoilt = on ? 0.1 : 0;
+      one.behaviour.late = on ? 0.1 : 0;
       one.behaviour.doubled = on ? 0.1 : 0;
     });
   case FaultKind::idle_clients:
@@ -214,7 +215,7 @@
       fleet_.clients(f).open_idle(std::min(kMostIdle, scenario_.deployment.sockets));
     return;
   case FaultKind::bad_clients:
-    return every(0.5, fault.lasts, [this] {
+    return every(0.5, fault.duration, [this] {
       for (int f : some_fronts(0.5)) fleet_.clients(f).misbehave(10);
     });
   }
@@ -280,7 +281,8 @@
   int fronts = fleet.fronts();
   for (int f = 0; f < fronts; ++f) {
     Fleet::Usage used = fleet.usage_of(f);
-    out.cpu += used.cpu / fronts, out.peak_mb += used.peak_mb / fronts;
+    out.cpu += used.cpu / fronts;
+    out.peak_mb += used.peak_mb / fronts;
     out.descriptors += static_cast<double>(used.descriptors) / fronts;
   }
   out.connections = static_cast<double>(fleet.connections()) / fronts;
@@ -303,23 +305,23 @@
   loop.until([&] { return fleet.all_ready(); }, now() + kReadyWithin);
   fleet.start_traffic();
   Faults faults(fleet, scenario);
-  for (const Fault &fault : scenario.faults) fleet.later(fault.at, [&faults, fault] { faults.begin(fault); });
-  if (scenario.traffic.crowd_at >= 0) {
+  for (const Fault &fault : scenario.faults) fleet.later(fault.start, [&faults, fault] { faults.begin(fault); });
+  if (scenario.traffic.crowd_start >= 0) {
     auto crowd = [&fleet](double factor) {
       for (int f = 0; f < fleet.fronts(); ++f) fleet.clients(f).crowd(factor);
     };
-    fleet.later(scenario.traffic.crowd_at, [&scenario, crowd] { crowd(scenario.traffic.crowd_factor); });
-    fleet.later(scenario.traffic.crowd_at + scenario.traffic.crowd_lasts, [crowd] { crowd(1); });
+    fleet.later(scenario.traffic.crowd_start, [&scenario, crowd] { crowd(scenario.traffic.crowd_factor); });
+    fleet.later(scenario.traffic.crowd_start + scenario.traffic.crowd_duration, [crowd] { crowd(1); });
   }
   auto never = [] { return false; };
-  loop.until(never, now() + scenario.lasts);
+  loop.until(never, now() + scenario.traffic_duration);
   fleet.stop_traffic();
   loop.until(never, now() + std::max(kOwedWithin, scenario.deployment.longest_deadline() + 0.7));
   RunResult out;
   out.usage = mean_usage(fleet);
-  ledger.close();
+  ledger.finish();
   for (int f = 0; f < fleet.fronts(); ++f) fleet.terminate(f, false);
-  loop.until([&] { return !fleet.any_runs(); }, now() + scenario.deployment.earliest_kill() + 1);
+  loop.until([&] { return !fleet.any_runs(); }, now() + scenario.deployment.earliest_kill_delay() + 1);
   fleet.read_logs();
   out.violations = ledger.violations();
   out.counts = ledger.counts();
