--- a/src/soak/fleet.h
+++ b/src/soak/fleet.h
@@ -1,5 +1,5 @@
-// All processes and stand-ins of one run, and the moves that faults are made of: restarts with their
-// bookkeeping, replacement of servers, changes of the list.
+// All processes and stand-ins of one run, and the operations that faults consist of: restarts of front ends,
+// replacement of servers, changes of the list. Each operation records its events in the ledger.
 #pragma once
 #include "soak/clients.h"
 #include "soak/discovery.h"
@@ -14,68 +14,81 @@
 
 class Fleet {
  public:
-  Fleet(asio::io_context &io, const Scenario &scenario, Ledger &ledger, FrontFiles files, double start);
+  Fleet(asio::io_context &io, const Scenario &scenario, Ledger &ledger, FrontLaunchOptions launch_options,
+        double start);
   ~Fleet();
 
   void start_all();
   bool all_ready() const;
   void start_traffic();
   void stop_traffic();
-  void terminate(int front, bool comes_back); // SIGTERM, SIGKILL at the earliest moment
-  void kill(int front, double back_after);
+  // Sends SIGTERM, and SIGKILL at the earliest moment that the platform allows.
+  void terminate(int front, bool restarts);
+  // Sends SIGKILL and restarts the front end after the delay in seconds.
+  void kill(int front, double restart_delay);
   void reload(int front);
-  void move_discovery(); // every front end has to be told by a reload
-  void cut(int front, bool is_cut);
-  void look();     // every 10 ms
-  void throttle(); // every ms
-  bool any_runs() const;
+  // Moves discovery to its other address and writes it to all configurations. Each front end learns of it
+  // only by a reload, which follows if the caller sends none.
+  void move_discovery();
+  // Cuts the front end off from all servers and from discovery, or ends the cut.
+  void set_isolated(int front, bool isolated);
+  void poll();     // called every 10 ms
+  void throttle(); // called every millisecond
+  bool any_front_running() const;
 
-  void announce(int server, ServerState state); // a change of the list; kept in the ledger
-  void repeat(int server);                      // a change that says what is known already
-  void restart_server(int server, double back_after, bool new_id);
+  // Changes the server's state in the list.
+  void change_server_state(int server, ServerState state);
+  // Sends a change that repeats the server's current entry.
+  void repeat_list_entry(int server);
+  // Crashes the server and starts it cold after the delay in seconds, with a new id if asked for.
+  void restart_server(int server, double restart_delay, bool new_id);
 
   StandInServer &server(int index) { return *servers_[static_cast<std::size_t>(index)]; }
   Clients &clients(int front) { return *clients_[static_cast<std::size_t>(front)]; }
   Discovery &discovery() { return discovery_; }
-  int servers() const { return static_cast<int>(servers_.size()); }
-  int fronts() const { return static_cast<int>(fronts_.size()); }
+  int server_count() const { return static_cast<int>(servers_.size()); }
+  int front_count() const { return static_cast<int>(fronts_.size()); }
   SeededRng &rng() { return rng_; }
-  void later(double seconds, std::function<void()> call);
-  void read_logs(); // for what the front ends' own guards denied
-  void measure();   // once a second
-  struct Usage {
-    double cpu = 0, peak_mb = 0;
+  void run_after(double seconds, std::function<void()> call);
+  // Searches the logs for messages that the front ends' own send guards denied.
+  void check_logs();
+  void sample_usage(); // called once a second
+  struct Usage {       // of one front end over all its processes; peaks are the highest samples
+    double cpu_seconds = 0, peak_mb = 0;
     int descriptors = 0;
   };
   Usage usage_of(int front) const;
-  std::uint64_t connections() const;
-  std::uint64_t list_bytes() const { return discovery_.bytes(); }
+  // Returns how many connections the servers have accepted, including those that stalled listeners make.
+  std::uint64_t accepted_connections() const;
+  std::uint64_t list_bytes_sent() const { return discovery_.bytes_sent(); }
 
  private:
-  struct Life { // of a front end's process
-    bool ready = false, planned = false, comes_back = true, needs_reload = false, killed = false;
-    double ready_at = 0, kill_at = -1, back_at = -1;
-    double cpu_before = 0, peak_mb = 0; // of the lives before, and at most
+  struct FrontState { // of one front end's process
+    // `terminating` is set once SIGTERM was sent, `restarts` if another process follows this one.
+    bool ready = false, terminating = false, restarts = true, needs_reload = false, killed = false;
+    double ready_at = 0, kill_at = -1, restart_at = -1; // below 0: not planned
+    // CPU time of the earlier processes, and the highest memory and descriptors of all of them.
+    double earlier_cpu_seconds = 0, peak_mb = 0;
     int descriptors = 0;
   };
   void start_front(int front);
-  ListEntry entry(int server) const;
-  void on_end(int front, int status);
+  ListEntry list_entry(int server) const;
+  void on_front_exit(int front, int status);
 
   asio::io_context &io_;
   const Scenario &scenario_;
   Ledger &ledger_;
-  FrontFiles files_;
+  FrontLaunchOptions launch_options_;
   SeededRng rng_;
-  Listener blackhole_;
+  Listener blackhole_; // never completes a handshake
   Discovery discovery_;
   std::vector<std::unique_ptr<StandInServer>> servers_;
   std::vector<std::unique_ptr<Clients>> clients_;
   std::vector<std::unique_ptr<FrontProcess>> fronts_;
-  std::vector<Life> lives_;
-  std::uint32_t next_id_;
-  int looks_ = 0;
-  bool traffic_ = false;
+  std::vector<FrontState> front_states_;
+  std::uint32_t next_server_id_;
+  int polls_ = 0;
+  bool traffic_running_ = false;
 };
 
 } // namespace snowshore::soak
--- a/src/soak/front_process.cpp
+++ b/src/soak/front_process.cpp
@@ -25,8 +25,8 @@
 constexpr std::size_t kControlBytes = 4096;
 constexpr const char *kZones[] = {"hall-a", "hall-b"};
 
-std::string dotted(const asio::ip::tcp::endpoint &at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+std::string host_port(const asio::ip::tcp::endpoint &endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 std::string server_name(std::uint32_t id) {
@@ -45,16 +45,17 @@
   s["skus"] = {"k"}, s["my_zone"] = kZones[index % d.zones], s["discovery"] = "pushed",
   s["weights"] = "rough";
   nlohmann::json family;
-  for (const ServiceClass &one : d.classes) {
-    s["classes"].push_back({{"name", one.name},
-                            {"on_time", one.on_time},
-                            {"deadline", one.deadline},
-                            {"worth", 1.0},
-                            {"effect", breaks_on_purpose(scenario, Rule::unsafe_repeat) ? "safe" : one.effect},
-                            {"stream", true}});
-    family["class_floor"].push_back(one.floor);
-    family["class_top"].push_back(one.top);
-    family["class_seats"].push_back(breaks_on_purpose(scenario, Rule::seats) ? 0 : one.seats);
+  for (const ServiceClass &service_class : d.classes) {
+    s["classes"].push_back(
+        {{"name", service_class.name},
+         {"on_time", service_class.on_time},
+         {"deadline", service_class.deadline},
+         {"worth", 1.0},
+         {"effect", breaks_on_purpose(scenario, Rule::unsafe_repeat) ? "safe" : service_class.effect},
+         {"stream", true}});
+    family["class_floor"].push_back(service_class.floor);
+    family["class_top"].push_back(service_class.top);
+    family["class_seats"].push_back(breaks_on_purpose(scenario, Rule::seats) ? 0 : service_class.seats);
     family["rate_factor"].push_back(1.0);
     family["is_live"].push_back(false);
   }
@@ -70,9 +71,9 @@
   family["full_from"] = 1.2;
   s["family_info"] = family;
   s["limits"] = {{"attempts_cap", d.max_attempts}, {"cancel", true},
-                 {"probes", d.probes_enabled},         {"retry_after", true},
-                 {"max_retry_after", 0.5},     {"connect_timeout", d.connect_timeout},
-                 {"idle_close", d.idle_timeout}, {"multiplex", d.multiplex}};
+                 {"probes", d.probes_enabled},     {"retry_after", true},
+                 {"max_retry_after", 0.5},         {"connect_timeout", d.connect_timeout},
+                 {"idle_close", d.idle_timeout},   {"multiplex", d.multiplex}};
   s["report"] = {{"how", "answers"}, {"names", {"cpu", "x1"}}};
   s["prices"] = {{"probe", 0.0}};
   s["rules"] = {{"answer_slack", 0.04},
@@ -94,16 +95,16 @@
 
 } // namespace
 
-FrontProcess::FrontProcess(const Scenario &scenario, const FrontFiles &files, int index,
-                           asio::ip::tcp::endpoint listen)
-    : scenario_(scenario), files_(files), index_(index), listen_(listen) {
-  std::string path = files_.folder + "/control-" + std::to_string(index_);
+FrontProcess::FrontProcess(const Scenario &scenario, const FrontLaunchOptions &options, int index,
+                           asio::ip::tcp::endpoint listen_endpoint)
+    : scenario_(scenario), options_(options), index_(index), listen_endpoint_(listen_endpoint) {
+  std::string path = options_.output_folder + "/control-" + std::to_string(index_);
   int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (file < 0 || ftruncate(file, kControlBytes) != 0) throw std::runtime_error(path + ": cannot be made");
-  void *at = mmap(nullptr, kControlBytes, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+  if (file < 0 || ftruncate(file, kControlBytes) != 0) throw std::runtime_error(path + ": cannot be created");
+  void *mapping = mmap(nullptr, kControlBytes, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  if (at == MAP_FAILED) throw std::runtime_error(path + ": cannot be mapped");
-  control_ = static_cast<unsigned char *>(at);
+  if (mapping == MAP_FAILED) throw std::runtime_error(path + ": cannot be mapped");
+  control_ = static_cast<unsigned char *>(mapping);
 }
 
 FrontProcess::~FrontProcess() {
@@ -120,44 +121,46 @@
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(seed));
   const Deployment &d = scenario_.deployment;
   config["name"] = "n" + std::to_string(index_);
-  config["listen"] = dotted(listen_);
+  config["listen"] = host_port(listen_endpoint_);
   config["seed"] = text;
   config["limits"] = {{"cores", d.core_share}, {"memory_mb", d.memory_mb}, {"sockets", d.sockets}};
-  config["channel"] = dotted(discovery.at(discovery.place()));
+  config["channel"] = host_port(discovery.endpoint(discovery.active_listener()));
   constexpr const char *kStates[] = {"active", "leaving", "left"};
   nlohmann::json targets = nlohmann::json::array();
-  for (const auto &[id, one] : discovery.list())
+  for (const auto &[id, entry] : discovery.list())
     targets.push_back({{"uid", server_name(id)},
-                       {"endpoint", dotted(one.at)},
-                       {"az", kZones[one.zone]},
+                       {"endpoint", host_port(entry.endpoint)},
+                       {"az", kZones[entry.zone]},
                        {"model", "k"},
-                       {"pod_group", one.cell},
-                       {"state", kStates[static_cast<int>(one.state)]},
+                       {"pod_group", entry.cell},
+                       {"state", kStates[static_cast<int>(entry.state)]},
                        {"capacity_hint", 1},
-                       {"boot_ms", one.started_ms}});
-  config["known"] = {
-      {"cursor", discovery.last()},
-      {"cmds",
-       {{{"cursor", discovery.last()}, {"nodes", {{"rev", 1}, {"all", true}, {"targets", targets}}}}}}};
+                       {"boot_ms", entry.start_time_ms}});
+  config["known"] = {{"cursor", discovery.last_change()},
+                     {"cmds",
+                      {{{"cursor", discovery.last_change()},
+                        {"nodes", {{"rev", 1}, {"all", true}, {"targets", targets}}}}}}};
   config["settings"] = settings_of(scenario_, index_);
-  std::string path = files_.folder + "/config-" + std::to_string(index_) + ".json";
+  std::string path = options_.output_folder + "/config-" + std::to_string(index_) + ".json";
   std::ofstream(path + ".next") << config.dump();
   std::filesystem::rename(path + ".next", path);
 }
 
-std::string FrontProcess::log() const { return files_.folder + "/front-" + std::to_string(index_) + ".log"; }
+std::string FrontProcess::log_path() const {
+  return options_.output_folder + "/front-" + std::to_string(index_) + ".log";
+}
 
 void FrontProcess::start() {
-  ++life_;
-  std::string config = files_.folder + "/config-" + std::to_string(index_) + ".json";
-  std::string source = asio::ip::address_v4(source_of(index_)).to_string();
-  std::string control = files_.folder + "/control-" + std::to_string(index_), log_path = log();
+  ++generation_;
+  std::string config = options_.output_folder + "/config-" + std::to_string(index_) + ".json";
+  std::string source = asio::ip::address_v4(source_address_of(index_)).to_string();
+  std::string control = options_.output_folder + "/control-" + std::to_string(index_), log_file = log_path();
   std::string discovery = asio::ip::address_v4(kDiscoveryAddress).to_string();
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("no process can be made");
+  if (pid_ < 0) throw std::runtime_error("cannot start the front end: fork failed");
   if (pid_ == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    int out = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    int out = ::open(log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(out, 1);
     dup2(out, 2);
     close_range(3, ~0U, 0);
@@ -167,77 +170,77 @@
     setenv("NODE_CONFIG", config.c_str(), 1);
     setenv("SOAK_SOURCE", source.c_str(), 1);
     setenv("SOAK_CONTROL", control.c_str(), 1);
-    setenv("SOAK_BLACKHOLE", files_.blackhole.c_str(), 1);
+    setenv("SOAK_BLACKHOLE", options_.blackhole_address.c_str(), 1);
     setenv("SOAK_DISCOVERY", discovery.c_str(), 1);
-    setenv("LD_PRELOAD", files_.shim.c_str(), 1);
-    execl(files_.program.c_str(), files_.program.c_str(), "edge", "--platform", nullptr);
+    setenv("LD_PRELOAD", options_.shim.c_str(), 1);
+    execl(options_.program.c_str(), options_.program.c_str(), "edge", "--platform", nullptr);
     _exit(127);
   }
   clock_getcpuclockid(pid_, &cpu_clock_);
-  cpu_seen_ = 0;
+  last_cpu_seconds_ = 0;
   stopped_ = false;
 }
 
-void FrontProcess::signal(int number) {
+void FrontProcess::send_signal(int number) {
   if (pid_ > 0) ::kill(pid_, number);
 }
 
-bool FrontProcess::ended(int &status) {
+bool FrontProcess::poll_exit(int &status) {
   if (pid_ <= 0) return false;
   siginfo_t info{};
   if (waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) != 0 || info.si_pid != pid_)
     return false;
-  at_end_.cpu = cpu();
+  exit_usage_.cpu_seconds = cpu_seconds();
   rusage use{};
   wait4(pid_, &status, 0, &use);
-  at_end_.peak_mb = static_cast<double>(use.ru_maxrss) / 1024;
-  at_end_.cpu = static_cast<double>(use.ru_utime.tv_sec + use.ru_stime.tv_sec) +
-                static_cast<double>(use.ru_utime.tv_usec + use.ru_stime.tv_usec) / 1e6;
+  exit_usage_.peak_mb = static_cast<double>(use.ru_maxrss) / 1024;
+  exit_usage_.cpu_seconds = static_cast<double>(use.ru_utime.tv_sec + use.ru_stime.tv_sec) +
+                            static_cast<double>(use.ru_utime.tv_usec + use.ru_stime.tv_usec) / 1e6;
   pid_ = 0;
   return true;
 }
 
-void FrontProcess::cut(bool servers, bool discovery) {
+void FrontProcess::set_isolation(bool servers, bool discovery) {
   control_[0] = servers;
   control_[1] = discovery;
 }
 
-double FrontProcess::cpu() const {
+double FrontProcess::cpu_seconds() const {
   timespec used{};
   if (pid_ <= 0 || clock_gettime(cpu_clock_, &used) != 0) return 0;
   return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) / 1e9;
 }
 
-void FrontProcess::throttle(double at) {
+void FrontProcess::throttle(double time) {
   double share = scenario_.deployment.core_share;
   if (pid_ <= 0 || share >= 1) return;
   if (stopped_) {
-    if (at < stopped_until_) return;
+    if (time < stopped_until_) return;
     stopped_ = false;
     ::kill(pid_, SIGCONT);
     return;
   }
-  double used = cpu();
-  double fresh = used - std::exchange(cpu_seen_, used);
-  if (fresh < 1e-4) return;
+  double used = cpu_seconds();
+  double recent = used - std::exchange(last_cpu_seconds_, used);
+  if (recent < 1e-4) return;
   stopped_ = true;
-  stopped_until_ = at + fresh * (1 / share - 1);
+  stopped_until_ = time + recent * (1 / share - 1);
   ::kill(pid_, SIGSTOP);
 }
 
 FrontUsage FrontProcess::usage() const {
   FrontUsage out;
   if (pid_ <= 0) return out;
-  out.cpu = cpu();
+  out.cpu_seconds = cpu_seconds();
   std::string proc = "/proc/" + std::to_string(pid_);
   std::ifstream in(proc + "/status");
-  std::ostringstream all;
-  all << in.rdbuf();
-  out.peak_mb = megabytes(all.str(), "VmHWM:");
-  out.resident_mb = megabytes(all.str(), "VmRSS:");
-  std::error_code failed;
-  for (auto it = std::filesystem::directory_iterator(proc + "/fd", failed);
-       !failed && it != std::filesystem::directory_iterator(); it.increment(failed))
+  std::ostringstream status;
+  status << in.rdbuf();
+  out.peak_mb = megabytes(status.str(), "VmHWM:");
+  out.resident_mb = megabytes(status.str(), "VmRSS:");
+  std::error_code error;
+  for (auto it = std::filesystem::directory_iterator(proc + "/fd", error);
+       !error && it != std::filesystem::directory_iterator(); it.increment(error))
     ++out.descriptors;
   return out;
 }
--- a/src/soak/servers.h
+++ b/src/soak/servers.h
@@ -1,5 +1,5 @@
-// The soak's streaming servers: real listeners that speak the platform's RTSP, keep sessions, and fail on
-// demand. What their sockets saw goes into the ledger at once.
+// The soak's streaming servers: real listeners that speak the platform's RTSP, hold sessions, and fail as the
+// scenario asks. What arrives on their sockets is recorded in the ledger at once.
 #pragma once
 #include "soak/addresses.h"
 #include "soak/ledger.h"
@@ -18,68 +18,83 @@
 
 class StandInServer {
  public:
-  struct Behaviour {                                                          // may change at any time
-    bool hangs = false;                                                       // accepts and never answers
-    double spoilt = 0, late = 0, refuses = 0.01, errors = 0.005, doubled = 0; // shares of set-ups
-    double reset_under = 0;      // share of set-ups whose connection is reset
-    double extra_delay = 0;      // seconds before each answer
-    double late_connections = 0; // share of time in which new connections do not come up
+  struct Behaviour {    // Each field may change at any time.
+    bool hangs = false; // The server accepts messages and never answers.
+    // The shares of set-ups whose answer is corrupt, comes around or after the deadline, is a refusal, is an
+    // error, or is sent twice.
+    double corrupt_share = 0, late_share = 0, refuse_share = 0.01, error_share = 0.005, duplicate_share = 0;
+    double reset_share = 0;           // the share of set-ups whose connection is reset
+    double extra_delay = 0;           // seconds before each answer
+    double stalled_connect_share = 0; // the share of time in which new connections are not established
   };
   StandInServer(asio::io_context &io, const Scenario &scenario, Ledger &ledger, int index,
                 std::uint64_t seed);
 
   int index() const { return index_; }
   std::uint32_t id() const { return id_; }
-  asio::ip::tcp::endpoint at() const { return listener_.at(); }
-  std::uint64_t started_ms() const { return started_ms_; }
-  bool runs() const { return runs_; }
+  asio::ip::tcp::endpoint endpoint() const { return listener_.endpoint(); }
+  // Returns the start in Unix milliseconds, or 0 for a server that ran before the soak and is warm.
+  std::uint64_t start_time_ms() const { return start_time_ms_; }
+  bool is_running() const { return running_; }
 
-  void start(bool as_new); // as_new: a start of this moment, cold
-  void crash();            // connections are reset, sessions cut, nothing listens
-  void vanish();           // silent for good
-  void hold(bool held);    // cut off from the network for a while
+  // Starts to listen; `cold` means that the server starts at this moment and has to warm up.
+  void start(bool cold);
+  // Resets the connections, drops the sessions and stops listening.
+  void crash();
+  // Drops the sessions and sends nothing any more; connections stay open.
+  void go_silent();
+  // Cuts the server off from the network, or ends the cut.
+  void set_stalled(bool stalled);
+  // Resets each open connection with the given probability.
   void reset_connections(double share);
-  void hold_front(int front, bool held); // its open connections
-  void take_id(std::uint32_t id) { id_ = id; }
-  void single_bytes(bool on) { faults_->single_bytes = on; }
-  void delay(double seconds) { faults_->delay = seconds; }
-  void late_connections(bool on) { listener_.hold(on); }
-  void look(); // ten times a second: ends of sessions, notes, idle connections
-  std::size_t sessions() const { return sessions_.size(); }
-  std::size_t connections() const { return links_.size(); }
-  std::uint64_t accepted() const { return accepted_; }
+  // Stalls the open connections of one front end.
+  void set_front_stalled(int front, bool stalled);
+  void set_id(std::uint32_t id) { id_ = id; }
+  void set_single_bytes(bool on) { faults_->single_bytes = on; }
+  void set_delay(double seconds) { faults_->delay = seconds; }
+  // Sets whether new connections are left without an answer to their handshake.
+  void set_connects_stalled(bool on) { listener_.set_stalled(on); }
+  // Called ten times a second: ends sessions, sends notes and closes idle connections.
+  void poll();
+  std::size_t session_count() const { return sessions_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
+  std::uint64_t accepted_connections() const { return accepted_connections_; }
   Behaviour behaviour;
 
  private:
-  struct Link { // a connection of a front end
-    std::shared_ptr<Wire> wire;
-    RtspText text;
+  struct Connection { // from a front end
+    std::shared_ptr<FaultyStream> stream;
+    RtspParser parser;
     int front = 0;
-    std::set<std::uint64_t> set_ups; // open on it
-    double used_at = 0;
+    std::set<std::uint64_t> open_set_ups; // sessions whose set-up on this connection has no answer yet
+    double last_used_at = 0;
   };
-  using LinkRef = std::shared_ptr<Link>;
+  using ConnectionRef = std::shared_ptr<Connection>;
   struct Session {
     int front = 0;
     double ends_at = 0;
-    std::weak_ptr<Link> link; // of its set-up
+    std::weak_ptr<Connection> connection; // on which the session was set up
   };
-  struct Release { // said, or still to be said, and once more on the next connection that is opened
+  // A release of an ended session. It is sent at once where a connection is open, and once more on the next
+  // connection from the front end, since the first may be lost.
+  struct Release {
     std::uint64_t session;
     int front;
-    bool said;
+    bool sent;
   };
   void accept(asio::ip::tcp::socket socket);
-  void on_message(const LinkRef &link, const RtspMessage &message);
-  void on_set_up(const LinkRef &link, std::uint64_t session, const RtspMessage &message);
-  void answer(const LinkRef &link, std::uint64_t session, double deadline);
-  void on_release(const LinkRef &link, std::uint64_t session, const RtspMessage &message);
-  void closed(const LinkRef &link);
-  void end_session(std::uint64_t session, const char *how, bool tells);
-  void say_releases(int front, const LinkRef &opened);
-  LinkRef open_link(int front, const std::weak_ptr<Link> &first) const;
-  void drop_all(bool by_reset, const char *how);
-  void later(double seconds, std::function<void()> call);
+  void on_message(const ConnectionRef &connection, const RtspMessage &message);
+  void on_set_up(const ConnectionRef &connection, std::uint64_t session, const RtspMessage &message);
+  void send_answer(const ConnectionRef &connection, std::uint64_t session, double deadline);
+  void on_release(const ConnectionRef &connection, std::uint64_t session, const RtspMessage &message);
+  void on_closed(const ConnectionRef &connection);
+  void end_session(std::uint64_t session, const char *reason, bool sends_release);
+  void resend_releases(int front, const ConnectionRef &opened);
+  // Returns `first` if it is open, else any open connection of the front end, else null.
+  ConnectionRef find_open_connection(int front, const std::weak_ptr<Connection> &first) const;
+  void drop_sessions(bool by_reset, const char *reason);
+  // Calls `call` after the delay unless the server has restarted or stopped meanwhile.
+  void run_after(double seconds, std::function<void()> call);
 
   asio::io_context &io_;
   const Scenario &scenario_;
@@ -87,14 +102,15 @@
   int index_;
   std::uint32_t id_;
   SeededRng rng_;
-  std::shared_ptr<WireFaults> faults_ = std::make_shared<WireFaults>();
+  std::shared_ptr<StreamFaults> faults_ = std::make_shared<StreamFaults>();
   Listener listener_;
-  std::set<LinkRef> links_;
+  std::set<ConnectionRef> connections_;
   std::unordered_map<std::uint64_t, Session> sessions_;
   std::vector<Release> releases_;
-  std::map<int, double> noted_at_; // by front end: when it was last sent a note on one of its sessions
-  std::uint64_t started_ms_ = 0, life_ = 0, accepted_ = 0;
-  bool runs_ = false, gone_silent_ = false;
+  std::map<int, double> last_note_at_; // by front end: when a note on one of its sessions was last sent
+  // `generation_` counts starts and stops.
+  std::uint64_t start_time_ms_ = 0, generation_ = 0, accepted_connections_ = 0;
+  bool running_ = false, silent_ = false;
 };
 
 } // namespace snowshore::soak
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -9,328 +9,350 @@
 
 namespace {
 
-constexpr double kReadyWithin = 15; // before traffic begins all front ends are ready, or so long has passed
-constexpr double kLookEvery = 0.01, kThrottleEvery = 0.001, kMeasureEvery = 1; // seconds
-constexpr double kOwedWithin = 9;     // after the last request everything is due, deadlines apart
-constexpr std::size_t kTimelines = 3; // printed for the first violations
-constexpr int kMostIdle = 300;        // silent connections opened towards one front end
+// Traffic begins when all front ends are ready, or after this many seconds.
+constexpr double kStartupTimeout = 15;
+constexpr double kPollInterval = 0.01, kThrottleInterval = 0.001, kUsageSampleInterval = 1; // seconds
+// Seconds after the last request by which everything owed is due, unless a deadline is longer.
+constexpr double kSettleTime = 9;
+constexpr std::size_t kMaxTimelines = 3; // The timelines that a result holds at most.
+constexpr int kMaxIdleConnections = 300; // The silent connections that are opened to one front end at most.
 
-// Carries the faults of a scenario out. Each fault is one function; what it begins it ends by itself.
-class Faults {
+// Injects the faults of a scenario. The function that starts a fault also schedules its end.
+class FaultInjector {
  public:
-  Faults(Fleet &fleet, const Scenario &scenario) : fleet_(fleet), scenario_(scenario) {}
-  void begin(const Fault &fault);
+  FaultInjector(Fleet &fleet, const Scenario &scenario) : fleet_(fleet), scenario_(scenario) {}
+  void inject(const Fault &fault);
 
  private:
-  std::vector<int> some_servers(double part);
-  std::vector<int> some_fronts(double part);
-  void every(double seconds, double lasts, std::function<void()> call);
-  template <class F> void with_servers(const Fault &fault, F set) { // set(server, on)
-    auto servers = some_servers(fault.share);
+  std::vector<int> random_servers(double share);
+  std::vector<int>
+  random_fronts(double share); // Calls `call` at once and then at the interval, for `duration` seconds.
+  void repeat_every(double interval, double duration, std::function<void()> call);
+  // Calls set(server, true) for random servers, and set(server, false) when the fault ends.
+  template <class F> void toggle_on_servers(const Fault &fault, F set) {
+    auto servers = random_servers(fault.share);
     for (int s : servers) set(fleet_.server(s), true);
-    fleet_.later(fault.duration, [this, servers, set] {
+    fleet_.run_after(fault.duration, [this, servers, set] {
       for (int s : servers) set(fleet_.server(s), false);
     });
   }
-  template <class F> void with_discovery(const Fault &fault, F set) { // set(discovery, on)
-    if (discovery_in_trouble_) return;
-    discovery_in_trouble_ = true;
+  // Calls set(discovery, true), and set(discovery, false) when the fault ends. Does nothing while another
+  // fault
+  // of discovery is active.
+  template <class F> void toggle_on_discovery(const Fault &fault, F set) {
+    if (discovery_fault_active_) return;
+    discovery_fault_active_ = true;
     set(fleet_.discovery(), true);
-    fleet_.later(fault.duration, [this, set] {
+    fleet_.run_after(fault.duration, [this, set] {
       set(fleet_.discovery(), false);
-      discovery_in_trouble_ = false;
+      discovery_fault_active_ = false;
     });
   }
-  void term_series(const Fault &fault);
+  void terminate_in_series(const Fault &fault);
   void reload_series(const Fault &fault);
   void replace_servers(const Fault &fault);
   void drain_and_return(const Fault &fault);
-  void churn(const Fault &fault);
+  void churn_list(const Fault &fault);
   void crash_servers(const Fault &fault);
-  void vanish_servers(const Fault &fault);
-  void cut_front(const Fault &fault);
-  void late_connections(const Fault &fault);
+  void silence_servers(const Fault &fault);
+  void isolate_front(const Fault &fault);
+  void delay_connections(const Fault &fault);
 
   Fleet &fleet_;
   const Scenario &scenario_;
-  bool discovery_in_trouble_ = false;
+  bool discovery_fault_active_ = false;
 };
 
-std::vector<int> some(SeededRng &rng, int count, double part) {
+std::vector<int> random_subset(SeededRng &rng, int count, double share) {
   std::vector<int> all(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) all[static_cast<std::size_t>(i)] = i;
   for (int i = count - 1; i > 0; --i)
     std::swap(all[static_cast<std::size_t>(i)], all[static_cast<std::size_t>(rng.uniform_int(0, i))]);
-  all.resize(std::max<std::size_t>(1, static_cast<std::size_t>(part * count)));
+  all.resize(std::max<std::size_t>(1, static_cast<std::size_t>(share * count)));
   return all;
 }
 
-std::vector<int> Faults::some_servers(double part) { return some(fleet_.rng(), fleet_.servers(), part); }
-std::vector<int> Faults::some_fronts(double part) { return some(fleet_.rng(), fleet_.fronts(), part); }
+std::vector<int> FaultInjector::random_servers(double share) {
+  return random_subset(fleet_.rng(), fleet_.server_count(), share);
+}
+std::vector<int> FaultInjector::random_fronts(double share) {
+  return random_subset(fleet_.rng(), fleet_.front_count(), share);
+}
 
-void Faults::every(double seconds, double lasts, std::function<void()> call) {
+void FaultInjector::repeat_every(double interval, double duration, std::function<void()> call) {
   call();
-  if (lasts > seconds)
-    fleet_.later(seconds, [this, seconds, lasts, call] { every(seconds, lasts - seconds, call); });
+  if (duration > interval)
+    fleet_.run_after(interval,
+                     [this, interval, duration, call] { repeat_every(interval, duration - interval, call); });
 }
 
-void Faults::term_series(const Fault &fault) {
+void FaultInjector::terminate_in_series(const Fault &fault) {
   double at = 0;
-  for (int f : some_fronts(fault.share)) {
-    fleet_.later(at, [this, f] { fleet_.terminate(f, true); });
+  for (int f : random_fronts(fault.share)) {
+    fleet_.run_after(at, [this, f] { fleet_.terminate(f, true); });
     at += fleet_.rng().uniform(0.05, 0.6);
   }
 }
 
-void Faults::reload_series(const Fault &) {
-  if (discovery_in_trouble_) return;
+void FaultInjector::reload_series(const Fault &) {
+  if (discovery_fault_active_) return;
   fleet_.move_discovery();
-  for (int f : some_fronts(0.7)) {
+  for (int f : random_fronts(0.7)) {
     int times = fleet_.rng().uniform_int(1, 4);
     for (int i = 0; i < times; ++i)
-      fleet_.later(fleet_.rng().uniform(0, 0.6), [this, f] { fleet_.reload(f); });
+      fleet_.run_after(fleet_.rng().uniform(0, 0.6), [this, f] { fleet_.reload(f); });
   }
 }
 
-void Faults::replace_servers(const Fault &fault) {
-  auto servers = some_servers(fault.share);
+void FaultInjector::replace_servers(const Fault &fault) {
+  auto servers = random_servers(fault.share);
   double step = fault.duration / static_cast<double>(servers.size()), at = 0;
   for (int s : servers) {
     double drains = fleet_.rng().uniform(0.5, 3), back = fleet_.rng().uniform(0, 1);
-    fleet_.later(at, [this, s] {
-      if (fleet_.server(s).runs()) fleet_.announce(s, ServerState::leaving);
+    fleet_.run_after(at, [this, s] {
+      if (fleet_.server(s).is_running()) fleet_.change_server_state(s, ServerState::leaving);
     });
-    fleet_.later(at + drains, [this, s, back] { fleet_.restart_server(s, back, true); });
+    fleet_.run_after(at + drains, [this, s, back] { fleet_.restart_server(s, back, true); });
     at += step;
   }
 }
 
-void Faults::drain_and_return(const Fault &fault) {
-  for (int s : some_servers(fault.share)) {
-    fleet_.announce(s, ServerState::leaving);
-    fleet_.later(fleet_.rng().uniform(0.05, 3), [this, s] {
-      if (fleet_.server(s).runs()) fleet_.announce(s, ServerState::active);
+void FaultInjector::drain_and_return(const Fault &fault) {
+  for (int s : random_servers(fault.share)) {
+    fleet_.change_server_state(s, ServerState::leaving);
+    fleet_.run_after(fleet_.rng().uniform(0.05, 3), [this, s] {
+      if (fleet_.server(s).is_running()) fleet_.change_server_state(s, ServerState::active);
     });
   }
 }
 
-void Faults::churn(const Fault &fault) {
-  every(0.05, fault.duration, [this] {
-    int s = fleet_.rng().uniform_int(0, fleet_.servers() - 1);
-    if (fleet_.server(s).runs()) fleet_.repeat(s);
+void FaultInjector::churn_list(const Fault &fault) {
+  repeat_every(0.05, fault.duration, [this] {
+    int s = fleet_.rng().uniform_int(0, fleet_.server_count() - 1);
+    if (fleet_.server(s).is_running()) fleet_.repeat_list_entry(s);
   });
 }
 
-void Faults::crash_servers(const Fault &fault) {
-  for (int s : some_servers(fault.share)) {
-    fleet_.later(fleet_.rng().uniform(0, 1),
-                 [this, s] { fleet_.restart_server(s, fleet_.rng().uniform(0.1, 3), false); });
+void FaultInjector::crash_servers(const Fault &fault) {
+  for (int s : random_servers(fault.share)) {
+    fleet_.run_after(fleet_.rng().uniform(0, 1),
+                     [this, s] { fleet_.restart_server(s, fleet_.rng().uniform(0.1, 3), false); });
   }
 }
 
-void Faults::vanish_servers(const Fault &fault) {
-  for (int s : some_servers(std::min(fault.share, 0.15))) {
-    if (!fleet_.server(s).runs()) continue;
-    fleet_.server(s).vanish();
-    fleet_.later(fleet_.rng().uniform(2, 5), [this, s] { fleet_.announce(s, ServerState::left); });
+void FaultInjector::silence_servers(const Fault &fault) {
+  for (int s : random_servers(std::min(fault.share, 0.15))) {
+    if (!fleet_.server(s).is_running()) continue;
+    fleet_.server(s).go_silent();
+    fleet_.run_after(fleet_.rng().uniform(2, 5),
+                     [this, s] { fleet_.change_server_state(s, ServerState::left); });
   }
 }
 
-void Faults::cut_front(const Fault &fault) {
-  int front = fleet_.rng().uniform_int(0, fleet_.fronts() - 1);
-  fleet_.cut(front, true);
-  fleet_.later(fault.duration, [this, front] { fleet_.cut(front, false); });
+void FaultInjector::isolate_front(const Fault &fault) {
+  int front = fleet_.rng().uniform_int(0, fleet_.front_count() - 1);
+  fleet_.set_isolated(front, true);
+  fleet_.run_after(fault.duration, [this, front] { fleet_.set_isolated(front, false); });
 }
 
-void Faults::late_connections(const Fault &fault) {
-  auto servers = some_servers(fault.share);
-  every(0.4, fault.duration, [this, servers] {
+void FaultInjector::delay_connections(const Fault &fault) {
+  auto servers = random_servers(fault.share);
+  repeat_every(0.4, fault.duration, [this, servers] {
     for (int s : servers) {
-      if (!fleet_.server(s).runs()) continue;
-      fleet_.server(s).late_connections(true);
-      fleet_.later(fleet_.rng().uniform(0.05, 0.35), [this, s] {
-        if (fleet_.server(s).runs()) fleet_.server(s).late_connections(false);
+      if (!fleet_.server(s).is_running()) continue;
+      fleet_.server(s).set_connects_stalled(true);
+      fleet_.run_after(fleet_.rng().uniform(0.05, 0.35), [this, s] {
+        if (fleet_.server(s).is_running()) fleet_.server(s).set_connects_stalled(false);
       });
     }
   });
 }
 
-void Faults::begin(const Fault &fault) {
+void FaultInjector::inject(const Fault &fault) {
   SeededRng &rng = fleet_.rng();
   switch (fault.kind) {
   case FaultKind::term_series:
-    return term_series(fault);
+    return terminate_in_series(fault);
   case FaultKind::kill:
-    for (int f : some_fronts(fault.share)) fleet_.kill(f, rng.uniform(0.1, 1));
+    for (int f : random_fronts(fault.share)) fleet_.kill(f, rng.uniform(0.1, 1));
     return;
   case FaultKind::reload_series:
     return reload_series(fault);
   case FaultKind::discovery_down:
-    return with_discovery(fault, [](Discovery &one, bool on) { one.down(on); });
+    return toggle_on_discovery(fault, [](Discovery &discovery, bool on) { discovery.set_down(on); });
   case FaultKind::discovery_silent:
-    return with_discovery(fault, [](Discovery &one, bool on) { one.silent(on); });
+    return toggle_on_discovery(fault, [](Discovery &discovery, bool on) { discovery.set_silent(on); });
   case FaultKind::discovery_mute:
-    return with_discovery(fault, [](Discovery &one, bool on) { one.mute(on); });
+    return toggle_on_discovery(fault, [](Discovery &discovery, bool on) { discovery.set_mute(on); });
   case FaultKind::discovery_late:
-    return with_discovery(fault, [](Discovery &one, bool on) { one.late(on); });
+    return toggle_on_discovery(fault, [](Discovery &discovery, bool on) { discovery.set_late(on); });
   case FaultKind::discovery_half:
-    return fleet_.discovery().half();
+    return fleet_.discovery().send_half_frames();
   case FaultKind::servers_hang:
-    return with_servers(fault, [](StandInServer &one, bool on) { one.behaviour.hangs = on; });
+    return toggle_on_servers(fault, [](StandInServer &server, bool on) { server.behaviour.hangs = on; });
   case FaultKind::servers_crash:
     return crash_servers(fault);
   case FaultKind::servers_vanish:
-    return vanish_servers(fault);
+    return silence_servers(fault);
   case FaultKind::servers_replaced:
     return replace_servers(fault);
   case FaultKind::drain_and_return:
     return drain_and_return(fault);
   case FaultKind::zone_cut:
-    return with_servers(fault, [](StandInServer &one, bool on) { one.hold(on); });
+    return toggle_on_servers(fault, [](StandInServer &server, bool on) { server.set_stalled(on); });
   case FaultKind::front_cut:
-    return cut_front(fault);
+    return isolate_front(fault);
   case FaultKind::resets:
-    with_servers(fault, [](StandInServer &one, bool on) { one.behaviour.reset_under = on ? 0.1 : 0; });
-    return every(0.2, fault.duration, [this, fault] {
-      for (int s : some_servers(fault.share / 2)) fleet_.server(s).reset_connections(0.4);
+    toggle_on_servers(fault,
+                      [](StandInServer &server, bool on) { server.behaviour.reset_share = on ? 0.1 : 0; });
+    return repeat_every(0.2, fault.duration, [this, fault] {
+      for (int s : random_servers(fault.share / 2)) fleet_.server(s).reset_connections(0.4);
     });
   case FaultKind::list_churn:
-    return churn(fault);
+    return churn_list(fault);
   case FaultKind::late_connections:
-    return late_connections(fault);
+    return delay_connections(fault);
   case FaultKind::single_bytes:
-    return with_servers(fault, [](StandInServer &one, bool on) { one.single_bytes(on); });
+    return toggle_on_servers(fault, [](StandInServer &server, bool on) { server.set_single_bytes(on); });
   case FaultKind::slow_answers:
-    return with_servers(fault, [delay = rng.uniform(0.05, 0.6)](StandInServer &one, bool on) {
-      one.behaviour.extra_delay = on ? delay : 0;
+    return toggle_on_servers(fault, [delay = rng.uniform(0.05, 0.6)](StandInServer &server, bool on) {
+      server.behaviour.extra_delay = on ? delay : 0;
     });
   case FaultKind::spoilt_answers:
-    return with_servers(fault, [](StandInServer &one, bool on) {
-      one.behaviour.spoilt = on ? 0.1 : 0;
-      one.behaviour.late = on ? 0.1 : 0;
-      one.behaviour.doubled = on ? 0.1 : 0;
+    return toggle_on_servers(fault, [](StandInServer &server, bool on) {
+      server.behaviour.corrupt_share = on ? 0.1 : 0;
+      server.behaviour.late_share = on ? 0.1 : 0;
+      server.behaviour.duplicate_share = on ? 0.1 : 0;
     });
   case FaultKind::idle_clients:
-    for (int f : some_fronts(0.5))
-      fleet_.clients(f).open_idle(std::min(kMostIdle, scenario_.deployment.sockets));
+    for (int f : random_fronts(0.5))
+      fleet_.clients(f).open_idle_connections(std::min(kMaxIdleConnections, scenario_.deployment.sockets));
     return;
   case FaultKind::bad_clients:
-    return every(0.5, fault.duration, [this] {
-      for (int f : some_fronts(0.5)) fleet_.clients(f).misbehave(10);
+    return repeat_every(0.5, fault.duration, [this] {
+      for (int f : random_fronts(0.5)) fleet_.clients(f).send_malformed(10);
     });
   }
 }
 
-// The run's own loop, with the looks of the fleet.
-class Loop {
+// Runs the event loop and the periodic calls of the fleet.
+class RunLoop {
  public:
-  Loop(asio::io_context &io, Fleet &fleet, bool throttles)
-      : io_(io), fleet_(fleet), look_(io), throttle_(io), measure_(io), throttles_(throttles) {
-    look();
-    measure();
+  RunLoop(asio::io_context &io, Fleet &fleet, bool throttles)
+      : io_(io), fleet_(fleet), poll_timer_(io), throttle_timer_(io), sample_timer_(io),
+        throttles_(throttles) {
+    poll();
+    sample_usage();
     if (throttles_) throttle();
   }
-  void until(const std::function<bool()> &holds, double at) {
-    while (!holds() && now() < at) {
+  // Runs the loop until the condition holds or the time is reached.
+  void run_until(const std::function<bool()> &condition, double time) {
+    while (!condition() && now() < time) {
       io_.restart();
       io_.run_for(std::chrono::milliseconds(2));
     }
   }
-  double late_by() const { return late_by_; }
+  // Returns by how many seconds a poll was late at most.
+  double max_delay() const { return max_delay_; }
 
  private:
-  static std::chrono::microseconds micro(double seconds) {
+  static std::chrono::microseconds to_microseconds(double seconds) {
     return std::chrono::microseconds(static_cast<long>(seconds * 1e6));
   }
-  void look() {
-    double due = now() + kLookEvery;
-    look_.expires_after(micro(kLookEvery));
-    look_.async_wait([this, due](asio::error_code error) {
+  void poll() {
+    double due = now() + kPollInterval;
+    poll_timer_.expires_after(to_microseconds(kPollInterval));
+    poll_timer_.async_wait([this, due](asio::error_code error) {
       if (error) return;
-      late_by_ = std::max(late_by_, now() - due);
-      fleet_.look();
-      look();
+      max_delay_ = std::max(max_delay_, now() - due);
+      fleet_.poll();
+      poll();
     });
   }
   void throttle() {
-    throttle_.expires_after(micro(kThrottleEvery));
-    throttle_.async_wait([this](asio::error_code error) {
+    throttle_timer_.expires_after(to_microseconds(kThrottleInterval));
+    throttle_timer_.async_wait([this](asio::error_code error) {
       if (error) return;
       fleet_.throttle();
       throttle();
     });
   }
-  void measure() {
-    measure_.expires_after(micro(kMeasureEvery));
-    measure_.async_wait([this](asio::error_code error) {
+  void sample_usage() {
+    sample_timer_.expires_after(to_microseconds(kUsageSampleInterval));
+    sample_timer_.async_wait([this](asio::error_code error) {
       if (error) return;
-      fleet_.measure();
-      measure();
+      fleet_.sample_usage();
+      sample_usage();
     });
   }
 
   asio::io_context &io_;
   Fleet &fleet_;
-  asio::steady_timer look_, throttle_, measure_;
-  double late_by_ = 0;
+  asio::steady_timer poll_timer_, throttle_timer_, sample_timer_;
+  double max_delay_ = 0;
   bool throttles_;
 };
 
 MeanUsage mean_usage(const Fleet &fleet) {
   MeanUsage out;
-  int fronts = fleet.fronts();
+  int fronts = fleet.front_count();
   for (int f = 0; f < fronts; ++f) {
     Fleet::Usage used = fleet.usage_of(f);
-    out.cpu += used.cpu / fronts;
+    out.cpu_seconds += used.cpu_seconds / fronts;
     out.peak_mb += used.peak_mb / fronts;
     out.descriptors += static_cast<double>(used.descriptors) / fronts;
   }
-  out.connections = static_cast<double>(fleet.connections()) / fronts;
-  out.list_kb = static_cast<double>(fleet.list_bytes()) / 1024 / fronts;
+  out.connections = static_cast<double>(fleet.accepted_connections()) / fronts;
+  out.list_kb = static_cast<double>(fleet.list_bytes_sent()) / 1024 / fronts;
   return out;
 }
 
 } // namespace
 
-RunResult run(const Scenario &scenario, const RunOptions &options) {
-  std::filesystem::remove_all(options.folder);
-  std::filesystem::create_directories(options.folder);
+RunResult run_scenario(const Scenario &scenario, const RunOptions &options) {
+  std::filesystem::remove_all(options.output_folder);
+  std::filesystem::create_directories(options.output_folder);
   std::signal(SIGPIPE, SIG_IGN);
   double start = now();
   asio::io_context io(1);
   Ledger ledger(scenario, start);
-  Fleet fleet(io, scenario, ledger, {options.program, options.shim, options.folder, ""}, start);
-  Loop loop(io, fleet, scenario.deployment.core_share < 1);
+  Fleet fleet(io, scenario, ledger, {options.program, options.shim, options.output_folder, ""}, start);
+  RunLoop loop(io, fleet, scenario.deployment.core_share < 1);
   fleet.start_all();
-  loop.until([&] { return fleet.all_ready(); }, now() + kReadyWithin);
+  loop.run_until([&] { return fleet.all_ready(); }, now() + kStartupTimeout);
   fleet.start_traffic();
-  Faults faults(fleet, scenario);
-  for (const Fault &fault : scenario.faults) fleet.later(fault.start, [&faults, fault] { faults.begin(fault); });
+  FaultInjector injector(fleet, scenario);
+  for (const Fault &fault : scenario.faults)
+    fleet.run_after(fault.start, [&injector, fault] { injector.inject(fault); });
   if (scenario.traffic.crowd_start >= 0) {
-    auto crowd = [&fleet](double factor) {
-      for (int f = 0; f < fleet.fronts(); ++f) fleet.clients(f).crowd(factor);
+    auto set_crowd_factor = [&fleet](double factor) {
+      for (int f = 0; f < fleet.front_count(); ++f) fleet.clients(f).set_rate_factor(factor);
     };
-    fleet.later(scenario.traffic.crowd_start, [&scenario, crowd] { crowd(scenario.traffic.crowd_factor); });
-    fleet.later(scenario.traffic.crowd_start + scenario.traffic.crowd_duration, [crowd] { crowd(1); });
+    fleet.run_after(scenario.traffic.crowd_start,
+                    [&scenario, set_crowd_factor] { set_crowd_factor(scenario.traffic.crowd_factor); });
+    fleet.run_after(scenario.traffic.crowd_start + scenario.traffic.crowd_duration,
+                    [set_crowd_factor] { set_crowd_factor(1); });
   }
   auto never = [] { return false; };
-  loop.until(never, now() + scenario.traffic_duration);
+  loop.run_until(never, now() + scenario.traffic_duration);
   fleet.stop_traffic();
-  loop.until(never, now() + std::max(kOwedWithin, scenario.deployment.longest_deadline() + 0.7));
+  loop.run_until(never, now() + std::max(kSettleTime, scenario.deployment.longest_deadline() + 0.7));
   RunResult out;
   out.usage = mean_usage(fleet);
   ledger.finish();
-  for (int f = 0; f < fleet.fronts(); ++f) fleet.terminate(f, false);
-  loop.until([&] { return !fleet.any_runs(); }, now() + scenario.deployment.earliest_kill_delay() + 1);
-  fleet.read_logs();
+  for (int f = 0; f < fleet.front_count(); ++f) fleet.terminate(f, false);
+  loop.run_until([&] { return !fleet.any_front_running(); },
+                 now() + scenario.deployment.earliest_kill_delay() + 1);
+  fleet.check_logs();
   out.violations = ledger.violations();
   out.counts = ledger.counts();
   out.summary = ledger.summary();
   std::size_t shown = 0;
-  for (const Violation &one : out.violations) {
-    if (one.session != 0 && shown++ < kTimelines) out.timelines += ledger.timeline(one.session);
+  for (const Violation &violation : out.violations) {
+    if (violation.session != 0 && shown++ < kMaxTimelines)
+      out.timelines += ledger.timeline(violation.session);
   }
-  out.late_by = loop.late_by();
+  out.max_loop_delay = loop.max_delay();
   return out;
 }
 
--- a/src/soak/wire.h
+++ b/src/soak/wire.h
@@ -1,6 +1,5 @@
-// One TCP connection of a stand-in, with the faults of the network on it. What arrives is handed over at
-// once, with the time of its arrival; what is said goes out late, in single bytes, or not at all while the
-// wire is held.
+// One TCP connection of a stand-in, and the network faults on it. Received bytes are passed on at once; sent
+// bytes go out late, one by one, or not at all while the connection is stalled.
 #pragma once
 #include <asio.hpp>
 
@@ -13,75 +12,91 @@
 
 namespace snowshore::soak {
 
-struct WireFaults { // shared by the wires of one stand-in, read whenever something is to be written
-  bool held = false;
-  bool single_bytes = false;
-  double delay = 0; // seconds
+// Faults of all connections of one stand-in. A connection reads them before each write.
+struct StreamFaults {
+  bool stalled = false;      // Nothing is written.
+  bool single_bytes = false; // Each write sends one byte.
+  double delay = 0;          // seconds before a message is written
 };
 
-double now(); // seconds of the steady clock
+// Returns the steady clock's time in seconds.
+double now();
 
-class Wire : public std::enable_shared_from_this<Wire> {
+class FaultyStream : public std::enable_shared_from_this<FaultyStream> {
  public:
   struct Events {
-    std::function<void(std::string_view)> bytes;
-    std::function<void()> closed; // by the other side; nothing more comes
+    std::function<void(std::string_view)> on_bytes;
+    // The other side has closed or reset the connection; no further event follows. Not called after close()
+    // or reset().
+    std::function<void()> on_closed;
   };
-  Wire(asio::ip::tcp::socket socket, std::shared_ptr<const WireFaults> faults);
+  FaultyStream(asio::ip::tcp::socket socket, std::shared_ptr<const StreamFaults> faults);
+  // Starts to read. The events are called on the socket's executor.
   void start(Events events);
-  // on_written: once the last byte has been handed to the system.
-  void say(std::string text, std::function<void()> on_written = {});
-  void close();  // in order: what is said already may be lost with it
-  void reset();  // the other side sees a reset
-  void finish(); // no more is said; what comes is still heard
+  // Queues the text. `on_written` is called once its last byte has been passed to the operating system.
+  void send(std::string text, std::function<void()> on_written = {});
+  // Closes the connection in order; text that is still queued is dropped.
+  void close();
+  // Closes the connection so that the other side sees a reset.
+  void reset();
+  // Shuts down the sending side once the queue is written; reading goes on.
+  void shut_down_sending();
   bool is_open() const { return open_; }
-  void hold(bool held) { held_ = held; } // this one alone
-  bool is_held() const { return held_ || faults_->held; }
-  std::uint32_t remote() const { return remote_; } // the other side's address
+  // Stalls this connection only; see StreamFaults for all connections of the stand-in.
+  void set_stalled(bool stalled) { stalled_ = stalled; }
+  bool is_stalled() const { return stalled_ || faults_->stalled; }
+  // Returns the other side's IPv4 address in host byte order, or 0 if it is unknown.
+  std::uint32_t remote_address() const { return remote_address_; }
+  // Returns when the connection was established, in seconds of now().
   double opened_at() const { return opened_at_; }
 
  private:
-  struct Due {
+  struct PendingWrite {
     std::string text;
-    double at;
+    double due; // the earliest time of the write
     std::function<void()> on_written;
   };
-  void read();
-  void pump();
-  void wait(double seconds);
-  void end();
+  void start_read();
+  void write_next();
+  void write_after(double seconds);
+  void close_socket();
 
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
-  std::shared_ptr<const WireFaults> faults_;
+  std::shared_ptr<const StreamFaults> faults_;
   Events events_;
-  std::deque<Due> due_;
+  std::deque<PendingWrite> pending_;
   std::array<char, 8192> buffer_;
-  std::uint32_t remote_ = 0;
+  std::uint32_t remote_address_ = 0;
   double opened_at_ = 0;
-  bool open_ = true, held_ = false, writing_ = false, waiting_ = false, finishes_ = false;
+  bool open_ = true, stalled_ = false, writing_ = false, waiting_ = false, shuts_down_sending_ = false;
 };
 
-// A listener that can be made to refuse, or to let no connection come up.
+// A listener that can be made to refuse connections or to leave their handshakes unanswered.
 class Listener {
  public:
   using OnAccept = std::function<void(asio::ip::tcp::socket)>;
-  // Listens at the address; port 0: one that the system chooses, kept from then on.
+  // Uses the address with port 0 at first; the port that the system chooses is kept for later calls of
+  // listen().
   Listener(asio::io_context &io, asio::ip::address_v4 address, OnAccept on_accept);
+  // Throws asio::system_error if the address can't be bound.
   void listen();
-  void refuse();        // nothing listens
-  void hold(bool held); // connections neither come up nor are refused, while it listens
-  bool listens() const { return acceptor_.is_open(); }
-  asio::ip::tcp::endpoint at() const { return at_; }
+  // Closes the listening socket, so that connections are refused.
+  void stop();
+  // While stalled, the listener neither completes nor refuses handshakes. Has no effect on one that is
+  // stopped.
+  void set_stalled(bool stalled);
+  bool is_listening() const { return acceptor_.is_open(); }
+  asio::ip::tcp::endpoint endpoint() const { return endpoint_; }
 
  private:
   void accept();
   asio::io_context &io_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::ip::tcp::endpoint at_;
+  asio::ip::tcp::endpoint endpoint_;
   OnAccept on_accept_;
-  std::vector<asio::ip::tcp::socket> fillers_;
-  bool held_ = false;
+  std::vector<asio::ip::tcp::socket> backlog_fillers_;
+  bool stalled_ = false;
 };
 
 } // namespace snowshore::soak
