--- a/src/decision/policy.cpp
+++ b/src/decision/policy.cpp
@@ -457,9 +457,9 @@
         int group = request.product * rung_count() + rung;
         gather_demand(servers_[to_size(s)].link);
         double room = capacity(servers_[to_size(s)].link) - gathered_demand_;
-        bool roomier =
+        bool has_more_room =
             best < 0 || room > best_room || (room == best_room && hash(request, s) > hash(request, best));
-        if (roomier && fits(servers_[to_size(s)], group, group_rate(group))) {
+        if (has_more_room && fits(servers_[to_size(s)], group, group_rate(group))) {
           best = s;
           best_rung = rung;
           best_room = room;
@@ -587,14 +587,14 @@
       int index = pick_play_to_step(server_indices, 1);
       if (index < 0) return;
       int low = plays_[to_size(index)].rung, rung = low;
-      int from = group_of(plays_[to_size(index)]);
+      int from_group = group_of(plays_[to_size(index)]);
       double share = 2;
       while (rung == low && (share /= 2) > kMinStepUpShare) {
         // A step costs the same over any number of rungs, so the highest rung is tried first.
         rung = highest_rung(plays_[to_size(index)].request);
         while (rung > low &&
-               !fits(server, from + rung - low, group_rate(from + rung - low) - group_rate(from),
-                     kStepUpStrictness, share))
+               !fits(server, from_group + rung - low,
+                     group_rate(from_group + rung - low) - group_rate(from_group), kStepUpStrictness, share))
           --rung;
       }
       if (rung == low || random_fraction() >= share) return;
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -51,7 +51,7 @@
   for (int i = 0; i < 4; ++i) {
     if (name == kLevelNames[i]) return static_cast<LogLevel>(i);
   }
-  throw std::invalid_argument("no log level '" + name + "'");
+  throw std::invalid_argument("unknown log level '" + name + "'");
 }
 
 } // namespace snowshore::telemetry
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -1,3 +1,4 @@
+// The metrics are built and serialized by prometheus-cpp.
 #include "telemetry/metrics.h"
 
 #include <prometheus/text_serializer.h>
--- a/tests/test_front.cpp
+++ b/tests/test_front.cpp
@@ -157,7 +157,7 @@
   struct Row {
     ListUpdateKind kind;
     ServerStatus status;
-    bool open;
+    bool gets_plays;
   };
   for (Row row : {Row{ListUpdateKind::changes, ServerStatus::leaving, false},
                   Row{ListUpdateKind::changes, ServerStatus::left, false},
@@ -166,7 +166,7 @@
     fixture.entries[0].status = row.status;
     fixture.engine->server_list_updated(row.kind, fixture.entries);
     fixture.request_play();
-    CHECK(fixture.decisions.count("allocate") == (row.open ? 1 : 0));
+    CHECK(fixture.decisions.count("allocate") == (row.gets_plays ? 1 : 0));
   }
   EngineFixture fixture(DecisionSettings{}, 2);
   // Without discovery the current list stays in force.
@@ -463,14 +463,14 @@
 
 TEST_CASE("where probes return load, servers without a report are probed before a first placement, not a "
           "repeated one") {
-  for (bool again : {false, true}) {
+  for (bool is_repeated : {false, true}) {
     EngineFixture fixture(DecisionSettings{{"may_probe", "true"}});
     PlayRequest request = EngineFixture::make_request(0);
-    request.is_repeated = again;
+    request.is_repeated = is_repeated;
     fixture.submit(request);
-    CHECK(fixture.decisions.count("probe") == (again ? 0 : 2));
-    CHECK(fixture.decisions.count("allocate") == (again ? 1 : 0));
-    if (again) continue;
+    CHECK(fixture.decisions.count("probe") == (is_repeated ? 0 : 2));
+    CHECK(fixture.decisions.count("allocate") == (is_repeated ? 1 : 0));
+    if (is_repeated) continue;
     int least = -1;
     for (int s = 0; s < 3; ++s) {
       LoadReport report;
@@ -517,7 +517,7 @@
     double demand;
     // Bounds of the number of front ends that step. Each of 200 has a play at the second rung, on a link for
     // 100 such plays.
-    int least, most;
+    int min_steps, max_steps;
   };
   for (Row row : {Row{0.4, 40, 200}, Row{0.8, 0, 90}, Row{1.2, 5, 150}}) {
     int stepped = 0;
@@ -538,8 +538,8 @@
       front->timer_expired(decisions.last_timer_label);
       stepped += decisions.count("rung");
     }
-    CHECK(stepped * 5 >= row.least);
-    CHECK(stepped * 5 <= row.most);
+    CHECK(stepped * 5 >= row.min_steps);
+    CHECK(stepped * 5 <= row.max_steps);
   }
 }
 
