--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -8,6 +8,8 @@
 
 using records::Record;
 
+// The schema of a day's record. It holds the default of each field; those under `site` become the front ends'
+// configuration.
 constexpr const char *kSchema = R"cue(
 #Time: string & =~"^[0-9]+(\\.[0-9]+)?(us|ms|s|m|h)$"
 #Rate: string & =~"^[0-9]+(\\.[0-9]+)?(kB/s|MB/s|kbit/s|Mbit/s)$"
@@ -87,28 +89,30 @@
 }
 )cue";
 
-constexpr std::pair<const char *, FaultKind> kKinds[] = {{"hang", FaultKind::hang},
-                                                         {"crash", FaultKind::crash},
-                                                         {"vanish", FaultKind::vanish},
-                                                         {"slow", FaultKind::slow},
-                                                         {"neighbour", FaultKind::neighbour},
-                                                         {"lost_silent", FaultKind::lost_silent},
-                                                         {"lost_reset", FaultKind::lost_reset},
-                                                         {"late", FaultKind::late},
-                                                         {"nonsense", FaultKind::nonsense},
-                                                         {"streams_cut", FaultKind::streams_cut},
-                                                         {"drain", FaultKind::drain},
-                                                         {"list_late", FaultKind::list_late},
-                                                         {"list_down", FaultKind::list_down},
-                                                         {"list_whole", FaultKind::list_whole},
-                                                         {"reports_late", FaultKind::reports_late},
-                                                         {"front_kill", FaultKind::front_kill},
-                                                         {"front_stall", FaultKind::front_stall},
-                                                         {"crowd", FaultKind::crowd},
-                                                         {"leavers", FaultKind::leavers},
-                                                         {"silent_players", FaultKind::silent_players},
-                                                         {"slow_players", FaultKind::slow_players}};
+// The names of the fault kinds in a day's record.
+constexpr std::pair<const char *, FaultKind> kFaultKinds[] = {{"hang", FaultKind::hang},
+                                                              {"crash", FaultKind::crash},
+                                                              {"vanish", FaultKind::vanish},
+                                                              {"slow", FaultKind::slow_link},
+                                                              {"neighbour", FaultKind::competing_traffic},
+                                                              {"lost_silent", FaultKind::answer_dropped},
+                                                              {"lost_reset", FaultKind::answer_reset},
+                                                              {"late", FaultKind::answer_delayed},
+                                                              {"nonsense", FaultKind::answer_malformed},
+                                                              {"streams_cut", FaultKind::report_streams_cut},
+                                                              {"drain", FaultKind::drain},
+                                                              {"list_late", FaultKind::list_delayed},
+                                                              {"list_down", FaultKind::list_unavailable},
+                                                              {"list_whole", FaultKind::list_rewritten},
+                                                              {"reports_late", FaultKind::reports_delayed},
+                                                              {"front_kill", FaultKind::front_kill},
+                                                              {"front_stall", FaultKind::front_stall},
+                                                              {"crowd", FaultKind::crowd},
+                                                              {"leavers", FaultKind::early_leavers},
+                                                              {"silent_players", FaultKind::silent_players},
+                                                              {"slow_players", FaultKind::slow_players}};
 
+// Returns `text` as a string literal of the record language.
 std::string quote(const std::string &text) {
   records::Value value;
   value.kind = records::Value::Kind::string;
@@ -118,9 +122,9 @@
 
 } // namespace
 
-std::string front_record(const Day &day, int index, const std::string &folder) {
-  const Record &s = day.site;
-  auto full = [](const Record &record, const char *name) {
+std::string render_front_record(const Day &day, int index, const std::string &folder) {
+  const Record &site = day.site;
+  auto rendered = [](const Record &record, const char *name) {
     return records::render(record.at(name).value(), 1);
   };
   std::string out;
@@ -134,68 +138,82 @@
   line("list: {file: " + quote(folder + "/list.cue") + ", catalogue: " + quote(folder + "/catalogue.cue") +
        "}");
   line("fleet: {cells: " + std::to_string(day.cells) + ", racks: " + std::to_string(day.racks) +
-       ", kinds: [{name: \"std\", places: " + std::to_string(static_cast<int>(day.places)) + "}]");
-  line("  link_per_weight: " + full(s, "link_per_weight") + ", rack_uplink: " + full(s, "rack_uplink"));
+       ", kinds: [{name: \"std\", places: " + std::to_string(static_cast<int>(day.capacity)) + "}]");
+  line("  link_per_weight: " + rendered(site, "link_per_weight") +
+       ", rack_uplink: " + rendered(site, "rack_uplink"));
   line("  full_from: " + std::to_string(day.full_from) + "}");
-  line("products: " + full(s, "products"));
-  line("rungs: " + full(s, "rungs"));
-  line("load: {may_probe: " + full(s, "may_probe") + ", note_delay: \"" +
-       std::to_string(static_cast<int>(std::round(day.note_delay * 1000))) + "ms\", note_interval: \"" +
-       std::to_string(static_cast<int>(std::round(day.note_every * 1000))) + "ms\"}");
-  line("allocations: {per_play: " + full(s, "per_play") + ", further: " + full(s, "further") + "}");
-  line("rules: {warm_up: " + full(s, "warm_up") + ", cold_share: " + full(s, "cold_share") +
-       ", fall_multiple: " + full(s, "fall_multiple") + ", fall_span: " + full(s, "fall_span") +
-       ", drain_grace: " + full(s, "drain_grace") + ", answer_slack: " + full(s, "answer_slack") + "}");
-  line("retry_after: " + full(s, "retry_after"));
-  line("limits: {open_plays: " + full(s, "open_plays") + ", connections: " + full(s, "connections") +
-       ", header_time: " + full(s, "header_time") + ", report_silence: " + full(s, "report_silence") +
-       ", lost_after: " + full(s, "lost_after") + "}");
-  line("log: {where: " + quote(folder + "/log.jsonl") + ", level: " + full(s, "log_level") + "}");
+  line("products: " + rendered(site, "products"));
+  line("rungs: " + rendered(site, "rungs"));
+  line("load: {may_probe: " + rendered(site, "may_probe") + ", note_delay: \"" +
+       std::to_string(static_cast<int>(std::round(day.report_delay * 1000))) + "ms\", note_interval: \"" +
+       std::to_string(static_cast<int>(std::round(day.report_interval * 1000))) + "ms\"}");
+  line("allocations: {per_play: " + rendered(site, "per_play") + ", further: " + rendered(site, "further") +
+       "}");
+  line("rules: {warm_up: " + rendered(site, "warm_up") + ", cold_share: " + rendered(site, "cold_share") +
+       ", fall_multiple: " + rendered(site, "fall_multiple") + ", fall_span: " + rendered(site, "fall_span") +
+       ", drain_grace: " + rendered(site, "drain_grace") +
+       ", answer_slack: " + rendered(site, "answer_slack") + "}");
+  line("retry_after: " + rendered(site, "retry_after"));
+  line("limits: {open_plays: " + rendered(site, "open_plays") +
+       ", connections: " + rendered(site, "connections") + ", header_time: " + rendered(site, "header_time") +
+       ", report_silence: " + rendered(site, "report_silence") +
+       ", lost_after: " + rendered(site, "lost_after") + "}");
+  line("log: {where: " + quote(folder + "/log.jsonl") + ", level: " + rendered(site, "log_level") + "}");
   return out;
 }
 
 Day read_day(const records::Source &file, int fronts, int servers) {
   records::Source files[] = {file};
-  Record r = records::read(files, {"(schema of days)", kSchema}, "#Day");
+  Record record = records::read(files, {"(schema of days)", kSchema}, "#Day");
   Day day;
-  day.name = r.text("name");
-  day.seconds = r.seconds("seconds");
-  day.fronts = fronts > 0 ? fronts : r.integer("fronts");
-  int usual = r.integer("servers");
-  day.servers = servers > 0 ? servers : usual;
-  // More servers than the record's bring plays, cells, racks and titles in proportion.
-  double scale = static_cast<double>(day.servers) / usual;
+  day.name = record.text("name");
+  day.seconds = record.seconds("seconds");
+  day.fronts = fronts > 0 ? fronts : record.integer("fronts");
+  int recorded_servers = record.integer("servers");
+  day.servers = servers > 0 ? servers : recorded_servers;
+  // The load, the cells, the racks and the titles grow in proportion to the number of servers.
+  double scale = static_cast<double>(day.servers) / recorded_servers;
   auto scaled = [&](const char *name) {
-    return std::max(1, static_cast<int>(std::round(r.integer(name) * scale)));
+    return std::max(1, static_cast<int>(std::round(record.integer(name) * scale)));
   };
-  day.cells = scaled("cells"), day.racks = std::min(scaled("racks"), day.cells),
+  day.cells = scaled("cells");
+  day.racks = std::min(scaled("racks"), day.cells);
   day.titles = scaled("titles");
-  day.plays_a_second = r.number("plays_a_second") * scale;
-  day.popularity = r.number("popularity");
-  day.lengths = r.seconds("length");
-  day.comes_again = r.number("comes_again"), day.pause = r.seconds("pause");
-  day.low_players = r.number("low_players");
-  Record server = r.at("server");
-  day.set_up_time = server.seconds("set_up"), day.places = server.number("places");
-  day.weight = server.number("weight"), day.link_spread = server.number("link_spread");
-  day.rate_spread = server.number("rate_spread"), day.full_from = server.number("full_from");
-  day.note_every = server.seconds("note_every"), day.note_delay = server.seconds("note_delay");
-  day.list_delay = r.seconds("list_delay");
-  day.product_shares = r.numbers("product_shares");
-  for (const Record &one : r.items("faults")) {
+  day.plays_per_second = record.number("plays_a_second") * scale;
+  day.popularity = record.number("popularity");
+  day.mean_play_length = record.seconds("length");
+  day.retry_share = record.number("comes_again");
+  day.retry_pause = record.seconds("pause");
+  day.low_bitrate_share = record.number("low_players");
+  Record server = record.at("server");
+  day.set_up_time = server.seconds("set_up");
+  day.capacity = server.number("places");
+  day.weight = server.number("weight");
+  day.link_spread = server.number("link_spread");
+  day.rate_spread = server.number("rate_spread");
+  day.full_from = server.number("full_from");
+  day.report_interval = server.seconds("note_every");
+  day.report_delay = server.seconds("note_delay");
+  day.list_delay = record.seconds("list_delay");
+  day.product_shares = record.numbers("product_shares");
+  for (const Record &entry : record.items("faults")) {
     Fault fault;
-    for (const auto &[name, kind] : kKinds) {
-      if (one.text("kind") == name) fault.kind = kind;
+    for (const auto &[name, kind] : kFaultKinds) {
+      if (entry.text("kind") == name) fault.kind = kind;
     }
-    fault.at = one.seconds("at"), fault.lasts = one.seconds("lasts"), fault.part = one.number("part");
-    fault.size = one.number("size"), fault.every = one.seconds("every");
-    fault.front = one.integer("front"), fault.replace = one.boolean("replace");
+    fault.start_time = entry.seconds("at");
+    fault.duration = entry.seconds("lasts");
+    fault.share = entry.number("part");
+    fault.magnitude = entry.number("size");
+    fault.interval = entry.seconds("every");
+    fault.front = entry.integer("front");
+    fault.add_replacement = entry.boolean("replace");
     day.faults.push_back(fault);
   }
-  day.site = r.at("site");
-  records::Source front[] = {{"(the day's front)", front_record(day, 0, "(folder)")}};
-  day.terms = site::parse_front_config(front);
-  day.product_shares.resize(day.terms.products.size(), 0);
+  day.site = record.at("site");
+  records::Source front[] = {{"(the day's front)", render_front_record(day, 0, "(folder)")}};
+  day.front_config = site::parse_front_config(front);
+  day.product_shares.resize(day.front_config.products.size(), 0);
   return day;
 }
 
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -1,4 +1,5 @@
-// A day: what is asked of the fronts, what goes wrong and when, as a typed record. Days lie under days/.
+// Declares the laboratory's test day: the fleet and the load that are offered to the front ends, and the
+// faults that are injected at given times. The day files lie under days/.
 #pragma once
 #include "records/records.h"
 #include "site/front_record.h"
@@ -8,57 +9,104 @@
 
 namespace snowshore::lab {
 
+// The kinds of faults. Their numeric values are written to the fleet trace.
 enum class FaultKind {
-  hang,        // servers stand still: set-ups and probes are read, none is answered, plays get nothing
-  crash,       // processes die (resets) and come back cold under the same address
-  vanish,      // silent: nothing is answered nor reset, then back cold with another start time
-  slow,        // links give less
-  neighbour,   // another program takes a share of the link, on and off
-  lost_silent, // answers to set-ups are lost; the play has started
-  lost_reset,  // likewise, with the connection reset
-  late,        // answers to set-ups come after their time-out
-  nonsense,    // answers to set-ups are no HTTP
-  streams_cut, // report streams break and ends are missed meanwhile
-  drain,       // waves: leaving, then gone, replaced by new ids where replace is set
-  list_late,   // the list comes later
-  list_down,   // and not at all
-  list_whole,  // the list is replaced whole in the middle of a burst
-  reports_late,
-  front_kill,     // killed outright and started again
-  front_stall,    // stopped and continued, again and again
-  crowd,          // for some titles
-  leavers,        // players that leave before their answer
-  silent_players, // connections that send nothing
-  slow_players    // requests that come a byte at a time
+  // The servers read set-ups and probes but answer none, and their plays receive no data.
+  hang,
+  // The server processes die with connection resets and come back cold under the same address.
+  crash,
+  // The servers neither answer nor reset anything; later they come back cold with another start time.
+  vanish,
+  // The servers' links deliver less.
+  slow_link,
+  // Another program takes a share of the servers' links, alternately on and off.
+  competing_traffic,
+  // Answers to set-ups are never sent, although the plays have started.
+  answer_dropped,
+  // Answers to set-ups are replaced by a connection reset, although the plays have started.
+  answer_reset,
+  // Answers to set-ups are sent after the set-ups' time-out.
+  answer_delayed,
+  // Answers to set-ups have an unexpected status, a malformed load header and a body of another type.
+  answer_malformed,
+  // The report streams break, so that the front ends miss the plays that end meanwhile.
+  report_streams_cut,
+  // Servers drain in waves: each is listed as leaving, then as left, and a server with a new id takes its
+  // place if
+  // Fault::add_replacement is set.
+  drain,
+  // Updates of the server list reach the front ends later than usual.
+  list_delayed,
+  // The server list is unavailable.
+  list_unavailable,
+  // The server list is written again as a whole under a new version, without the usual delay.
+  list_rewritten,
+  // The servers' reports reach the front ends later than usual.
+  reports_delayed,
+  // A front end is killed with SIGKILL and started again.
+  front_kill,
+  // A front end is stopped and continued repeatedly.
+  front_stall,
+  // Additional viewers ask for a few titles.
+  crowd,
+  // A share of the players closes its connection before the answer.
+  early_leavers,
+  // Connections to a front end are opened on which nothing is sent.
+  silent_players,
+  // Connections to a front end are opened on which a request arrives one byte at a time.
+  slow_players
 };
 
+// One fault of a day. Times are in seconds.
 struct Fault {
   FaultKind kind{};
-  double at = 0, lasts = 0; // seconds from the day's start
-  double part = 0;          // of the servers, or of what the kind names
-  double size = 0;  // the kind's own measure: times slower, share taken, seconds late, waves, requests ...
-  double every = 0; // on and off, or between waves or stalls
+  // The start, counted from the start of the day, and the duration.
+  double start_time = 0, duration = 0;
+  // The share of the servers that are affected; for early_leavers, of the players. For crowd, a tenth of the
+  // number of titles.
+  double share = 0;
+  // The strength in the kind's own unit: a factor, a share, a delay or stall in seconds, a number of waves or
+  // of connections.
+  double magnitude = 0;
+  // The interval between on and off, between waves or between stalls.
+  double interval = 0;
+  // The index of the front end that is affected, modulo the number of front ends for kills and stalls.
   int front = 0;
-  bool replace = false;
+  bool add_replacement = false;
 };
 
+// A test day as read from its record. Times are in seconds, rates in bytes per second.
 struct Day {
   std::string name;
+  // The duration of the day.
   double seconds = 0;
   int fronts = 0, servers = 0, cells = 0, racks = 0, titles = 0;
-  double plays_a_second = 0, popularity = 0, lengths = 0; // mean length of a play
-  double comes_again = 0, pause = 0;                      // share of those declined or broken; mean pause
-  double low_players = 0;                                 // share that cannot use the upper rungs
-  double set_up_time = 0, places = 0, weight = 0, link_spread = 0, rate_spread = 0;
-  double note_every = 0, note_delay = 0, list_delay = 0, full_from = 0;
+  // The rate of new viewers, the exponent of the titles' popularity by rank, and the mean length of a play.
+  double plays_per_second = 0, popularity = 0, mean_play_length = 0;
+  // The share of the viewers that ask again after a decline or a broken play, and the mean pause before that.
+  double retry_share = 0, retry_pause = 0;
+  // The share of the players that cannot use the upper rungs.
+  double low_bitrate_share = 0;
+  // A server's mean set-up time, its capacity in plays and its weight, and the relative spread of the
+  // servers' links and of the plays' rates around their nominal values.
+  double set_up_time = 0, capacity = 0, weight = 0, link_spread = 0, rate_spread = 0;
+  // The interval and the delay of load reports, the delay of list updates, and the link use from which on a
+  // server declines set-ups (0: it never does because of its link).
+  double report_interval = 0, report_delay = 0, list_delay = 0, full_from = 0;
+  // The share of the plays that ask for each product, by the product's index.
   std::vector<double> product_shares;
   std::vector<Fault> faults;
-  records::Record site;    // for the fronts' records
-  site::FrontConfig terms; // the same, read
+  // The record's part from which the front ends' records are written.
+  records::Record site;
+  // The configuration that the front ends read from those records.
+  site::FrontConfig front_config;
 };
 
-// Throws records::RecordError. Counts of 0 keep the record's.
+// Reads a day's record. Positive values of `fronts` and `servers` replace those of the record; the load, the
+// cells, the racks and the titles scale with the number of servers. Throws records::RecordError.
 Day read_day(const records::Source &file, int fronts = 0, int servers = 0);
-std::string front_record(const Day &day, int index, const std::string &folder); // one front's record file
+
+// Returns the text of the configuration record of front end `index`, which keeps its files in `folder`.
+std::string render_front_record(const Day &day, int index, const std::string &folder);
 
 } // namespace snowshore::lab
--- a/src/lab/judge.h
+++ b/src/lab/judge.h
@@ -1,5 +1,6 @@
-// The judge: whether the six rules were kept, from what the stand-ins' sockets saw and from nothing of the
-// fronts. It also says what it could not judge, and where players and servers disagree on a play.
+// Declares the judge, which checks the six rules of a day against the traces of the simulated servers and
+// players. It reads nothing that the front ends write. It also counts what it could not judge and reports
+// plays on which players and servers disagree.
 #pragma once
 #include "lab/day.h"
 #include "lab/trace.h"
@@ -11,33 +12,50 @@
 
 namespace snowshore::lab {
 
-struct Evidence { // one breach, or one thing that could not be judged: play, server, times
+// Describes one violation or one other finding: the play, the server and the times.
+struct Evidence {
   std::string text;
 };
 
+// The result of judging one day.
 struct Verdict {
-  std::array<std::vector<Evidence>, 6> breaches; // by rule, 0 to 5
-  std::vector<Evidence> disagreements;           // of players and servers
-  std::vector<Evidence> other;                   // a front that died or did not end by itself
-  std::map<std::string, int> not_judged;         // reason: how many
-  std::map<std::string, int> outcomes;           // of asks
-  double asked = 0, served = 0;     // importance asked for; answered within the first-frame target
-  std::vector<double> first_frames; // seconds, sorted
-  std::uint64_t asks = 0, plays = 0, set_ups = 0, further = 0, rung_steps = 0;
-  int kept() const;
-  bool clean() const { return kept() == 6 && disagreements.empty() && other.empty(); }
+  // The violations, by rule (index 0 is rule 1).
+  std::array<std::vector<Evidence>, 6> violations;
+  // Plays on which the traces of players and servers contradict each other.
+  std::vector<Evidence> disagreements;
+  // Failures outside the rules, such as a front end that crashed or did not exit on SIGTERM.
+  std::vector<Evidence> other_failures;
+  // The number of cases that could not be judged, by reason.
+  std::map<std::string, int> not_judged;
+  // The number of requests, by outcome.
+  std::map<std::string, int> outcomes;
+  // The summed importance of the viewers that asked, and of those whose first frame came within its target.
+  double importance_requested = 0, importance_served = 0;
+  // The times to the first frame in seconds, sorted.
+  std::vector<double> first_frame_times;
+  std::uint64_t requests = 0, plays = 0, set_ups = 0, further_allocations = 0, rung_steps = 0;
+  // Returns the number of rules without a violation.
+  int kept_rules() const;
+  // Returns whether all rules were kept and nothing else failed.
+  bool clean() const { return kept_rules() == 6 && disagreements.empty() && other_failures.empty(); }
 };
 
+// The traces of a day, each in the order of time.
 struct Traces {
-  std::vector<Json> fleet, servers, players; // each in the order of time
+  std::vector<Json> fleet, servers, players;
 };
 
-Traces read_traces(const std::string &folder); // throws std::runtime_error naming file and line
+// Reads the traces that run_day() wrote to `folder`. Throws std::runtime_error with the file and line of a
+// failure.
+Traces read_traces(const std::string &folder);
+// Checks all rules of a day.
 Verdict judge(const Day &day, const Traces &traces);
-std::string report(const Verdict &verdict, bool in_full = false);
+// Returns the verdict as text: all evidence if `full` is set, else the first few items of each list.
+std::string format_report(const Verdict &verdict, bool full = false);
 
-inline constexpr const char *kRules[] = {"one answer in time", "one allocation at a time",
-                                         "drains kept",        "cold servers spared",
-                                         "terms kept",         "further allocations in budget"};
+// The names of the rules as they are printed.
+inline constexpr const char *kRuleNames[] = {"one answer in time", "one allocation at a time",
+                                             "drains kept",        "cold servers spared",
+                                             "terms kept",         "further allocations in budget"};
 
 } // namespace snowshore::lab
--- a/src/lab/quantile.h
+++ b/src/lab/quantile.h
@@ -1,15 +1,17 @@
-// The value that this part of all lies at or under; 0 where there is none.
+// Declares quantile().
 #pragma once
 #include <algorithm>
 #include <vector>
 
 namespace snowshore::lab {
 
-inline double quantile(std::vector<double> values, double part) {
+// Returns the value at or below which the fraction `share` of the values lies, or 0 if there are no values.
+inline double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
-  auto place = values.begin() + static_cast<std::ptrdiff_t>(part * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), place, values.end());
-  return *place;
+  auto position =
+      values.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
+  std::nth_element(values.begin(), position, values.end());
+  return *position;
 }
 
 } // namespace snowshore::lab
--- a/src/lab/run_day.h
+++ b/src/lab/run_day.h
@@ -1,5 +1,6 @@
-// Plays one day: fronts as processes of their own, stand-in servers and players in this one, faults by the
-// day's script. All on loopback, ports by the system, everything started here ended here.
+// Declares the run of a day: the front ends run as processes of their own, the simulated servers and players
+// in this process, and the faults follow the day's record. Everything is on loopback with ports that the
+// system assigns, and everything that is started here is ended here.
 #pragma once
 #include "lab/day.h"
 
@@ -9,28 +10,37 @@
 
 namespace snowshore::lab {
 
-// The fronts of a day, for what works beside it in a thread of its own. May be called by any thread.
+// Access to the front ends of a day for a task that runs in a thread of its own. All functions may be called
+// from any thread.
 class FleetControl {
  public:
   virtual ~FleetControl() = default;
   virtual int fronts() const = 0;
-  virtual int management_port(int front) const = 0; // 0: down, or not up yet
-  virtual void kill_front(int front) = 0;           // and started again a moment later
-  virtual bool ends() const = 0;                    // the day is over: come back soon
+  // Returns 0 while the front end is down or does not listen yet.
+  virtual int management_port(int front) const = 0;
+  // Kills the front end; it is started again a moment later.
+  virtual void kill_front(int front) = 0;
+  // Returns whether the day is over and the task must return soon.
+  virtual bool is_day_over() const = 0;
 };
 
 struct RunOptions {
-  // Beside the day, in its own thread; the fronts then have management on. The day lasts until it has come
-  // back where lasts_until_done, else as long as its record says.
-  std::function<void(FleetControl &)> beside;
-  bool lasts_until_done = false;
-  std::string folder;  // traces, records and logs; made anew
-  std::string program; // the front's
+  // A task that runs in its own thread during the day, or none. If there is one, the front ends have
+  // management enabled.
+  std::function<void(FleetControl &)> background_task;
+  // Whether the day lasts until the task has returned, and not as long as its record says.
+  bool run_until_task_done = false;
+  // The folder of traces, records and logs. An earlier day in it is deleted.
+  std::string folder;
+  // The path of the front end's executable.
+  std::string program;
   std::uint64_t seed = 1;
-  bool progress = false;
+  // Whether the progress is shown on standard error.
+  bool show_progress = false;
 };
 
-// Throws std::runtime_error when the day could not be played (a front that does not come up).
+// Runs a day; `day_text` is its record and goes into the folder. Throws std::runtime_error if the day cannot
+// be run, for example because a front end does not become ready.
 void run_day(const Day &day, const std::string &day_text, const RunOptions &options);
 
 } // namespace snowshore::lab
--- a/src/lab/server.h
+++ b/src/lab/server.h
@@ -1,5 +1,6 @@
-// A stand-in playout server: real sockets, and behind them a model of places, warm-up, link and rack uplink,
-// and of the ways in which it fails. It writes down what its own sockets saw.
+// Declares the simulated playout server: real sockets in front of a model of its capacity, its warm-up, its
+// link and its rack's uplink, and of the ways in which it fails. It writes to the trace what its own sockets
+// observe.
 #pragma once
 #include "http/server.h"
 #include "lab/day.h"
@@ -15,36 +16,53 @@
 
 namespace snowshore::lab {
 
-struct Uplink { // of a rack; shared by its servers
-  double capacity = 0, asked = 0;
+// A rack's uplink, which its servers share. Rates are in bytes per second.
+struct Uplink {
+  double capacity = 0, demand = 0;
 };
 
+// The faults that are in effect at a server.
 struct ServerFaults {
-  bool hang = false, silent = false, nonsense = false;
-  double slower = 1, taken = 0;                        // links give so many times less; a share is taken
-  double lose_silent = 0, lose_reset = 0, late_by = 0; // shares of answers; seconds
+  // The server answers nothing and sends no data; it drops its answers; its answers to set-ups are malformed.
+  bool hang = false, silent = false, malformed_answers = false;
+  // The link is divided by link_divisor, and competing traffic takes a share of it.
+  double link_divisor = 1, competing_share = 0;
+  // The shares of the answers to set-ups that are dropped or reset, and the seconds by which they are held
+  // back.
+  double dropped_share = 0, reset_share = 0, answer_delay = 0;
+  // The seconds by which reports other than ends are held back in addition to their usual delay.
   double report_delay = 0;
 };
 
-class StandInServer {
+// A playout server on a loopback port. All calls and handlers run on the executor of `io`.
+class SimulatedServer {
  public:
-  StandInServer(asio::io_context &io, telemetry::LoopClock &clock, Trace &trace, const Day &day,
-                std::string id, int cell, Uplink &uplink, std::uint64_t seed);
-  ~StandInServer();
+  SimulatedServer(asio::io_context &io, telemetry::LoopClock &clock, Trace &trace, const Day &day,
+                  std::string id, int cell, Uplink &uplink, std::uint64_t seed);
+  ~SimulatedServer();
 
-  void start(bool cold); // listens; on its old port when it had one
-  void die();            // connections are reset, nothing listens
-  void vanish();         // the process is gone for everyone, but nothing is reset
-  void drain();          // answers set-ups as turned away from now on
-  void cut_streams();
-  void tick(double passed); // once a tenth of a second: shares, reports
+  // Starts to listen, on its earlier port if it had one. A server that does not start cold has been up for
+  // 1000 s.
+  void start(bool cold);
+  // Stops: the connections are reset and nothing listens.
+  void crash();
+  // Stops silently: nothing is answered any more, and nothing is reset.
+  void vanish();
+  // From now on, declines all set-ups.
+  void drain();
+  // Resets the report streams of all front ends.
+  void cut_report_streams();
+  // Updates the plays' shares of the link and sends the reports that are due. DayRun calls it every 0.1 s
+  // with that interval as `elapsed`; with 0 only the load figures are updated.
+  void tick(double elapsed);
 
   const std::string &id() const { return id_; }
   int cell() const { return cell_; }
   http::Endpoint address() const { return address_; }
   double started() const { return started_; }
   bool up() const { return up_; }
-  double asked() const { return asked_; }
+  // Returns the sum of the rates of its plays, in bytes per second.
+  double demand() const { return demand_; }
   std::size_t plays() const { return plays_.size(); }
   ServerFaults faults;
 
@@ -53,18 +71,23 @@
     std::string id, front, boot, title, product;
     int rung = 0, allocation = 0, product_index = 0;
     std::uint64_t step = 0;
-    double factor = 1, ready_at = 0, expires_at = 0, started_at = 0;
+    double rate_factor = 1, ready_at = 0, expires_at = 0, started_at = 0;
     bool playing = false, claimed = false;
-    std::shared_ptr<http::Exchange> asker;  // the front's set-up, until answered
-    std::shared_ptr<http::Exchange> player; // the player's media stream
+    // The front end's set-up request, until it is answered.
+    std::shared_ptr<http::Exchange> set_up;
+    // The player's media stream.
+    std::shared_ptr<http::Exchange> media;
   };
-  struct Follower { // a front's report stream
+  // The report stream of a front end.
+  struct Subscriber {
     std::string front, boot;
     std::shared_ptr<http::Exchange> stream;
-    double beat_at = 0, note_at = 0, share_at = 0;
+    // When each kind of report was last sent.
+    double last_keepalive = 0, last_load_report = 0, last_share_report = 0;
     bool was_short = false;
   };
-  struct Due { // a report on its way
+  // A report that is sent at a later time.
+  struct PendingReport {
     double at;
     std::string front, text;
   };
@@ -75,15 +98,21 @@
   void on_reports(const http::Request &request, const std::shared_ptr<http::Exchange> &exchange);
   void drop_plays(bool silent);
   void finish_set_up(const std::string &id);
-  void end_play(const std::string &id, const char *reason, bool tell = true);
-  void report_soon(const std::string &front, const serverwire::Report &report, double delay);
-  bool falls_over();
-  double pace() const; // set-ups a second that it takes now
+  void end_play(const std::string &id, const char *reason, bool send_report = true);
+  void send_report(const std::string &front, const serverwire::Report &report, double delay);
+  // Counts a set-up and returns whether the server fails under it because it is still cold.
+  bool is_overloaded();
+  // Returns the number of set-ups per second that the server takes at present.
+  double set_up_rate() const;
   double rate_of(const Play &play) const;
+  // Returns the rate that the link has left under the faults in effect.
   double link() const;
-  http::Response load_answer(int status) const;
-  bool mute() const { return faults.hang || faults.silent || !up_; }
-  double noisy(double value) const;
+  // Returns an answer that carries the server's load.
+  http::Response make_response(int status) const;
+  // Returns whether the server answers nothing at present.
+  bool unresponsive() const { return faults.hang || faults.silent || !up_; }
+  // Returns `value` with a measurement error.
+  double with_noise(double value) const;
 
   asio::io_context &io_;
   telemetry::LoopClock &clock_;
@@ -92,19 +121,24 @@
   std::string id_;
   int cell_;
   Uplink &uplink_;
-  mutable std::minstd_rand chance_;
-  double true_link_;
+  mutable std::minstd_rand random_;
+  // The rate of the link without faults. It differs from the configured rate by the day's link_spread.
+  double actual_link_;
   std::unique_ptr<http::Server> server_;
   http::Endpoint address_;
   double started_ = 0, cold_from_ = -1e9;
-  bool up_ = false, draining_ = false, fallen_ = false;
+  bool up_ = false, draining_ = false, failed_ = false;
   std::map<std::string, Play> plays_;
-  std::vector<Follower> followers_;
-  std::deque<Due> due_;
-  std::deque<double> arrivals_;             // of set-ups, lately
-  std::map<std::string, double> withdrawn_; // ends that came before their set-up, or for one that is over
-  std::map<std::string, double> unfollowed_since_; // by front: when it last had a report stream
-  double asked_ = 0, share_ = 1, told_link_ = 0, told_uplink_ = 0, told_at_ = -1;
+  std::vector<Subscriber> subscribers_;
+  // Ordered by time.
+  std::deque<PendingReport> pending_reports_;
+  // The times of the set-ups within the last fall_span.
+  std::deque<double> arrivals_;
+  // When plays were withdrawn, by id. A withdrawal may arrive before its set-up, or after the play has ended.
+  std::map<std::string, double> withdrawn_;
+  // When each front end last had a report stream.
+  std::map<std::string, double> last_subscribed_;
+  double demand_ = 0, share_ = 1, reported_link_ = 0, reported_uplink_ = 0, reported_at_ = -1;
 };
 
 } // namespace snowshore::lab
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -1,4 +1,5 @@
-// What the stand-ins' own sockets saw, one JSON object a line with its time; the judge reads nothing else.
+// Declares the trace: what the sockets of the simulated servers and players observe, one JSON object per line
+// with its time. The judge reads nothing else.
 #pragma once
 #include "telemetry/loop_clock.h"
 
@@ -14,13 +15,16 @@
 
 class Trace {
  public:
+  // Truncates the file. Throws std::runtime_error if it cannot be written.
   Trace(const std::string &file, telemetry::LoopClock &clock) : out_(file), clock_(clock) {
     if (!out_) throw std::runtime_error("cannot write " + file);
   }
-  void put(const char *is, Json line) {
-    line["t"] = clock_.read_now();
-    line["is"] = is;
-    out_ << line.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
+  // Writes a line, to whose object the name of the event ("is") and the time in seconds ("t") are added.
+  // Invalid UTF-8 is replaced.
+  void write(const char *event, Json record) {
+    record["t"] = clock_.read_now();
+    record["is"] = event;
+    out_ << record.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
   }
   void flush() { out_.flush(); }
 
