--- a/src/soak/ledger.cpp
+++ b/src/soak/ledger.cpp
@@ -13,7 +13,7 @@
 
 // Limits from the platform's pages, in seconds unless said otherwise.
 constexpr double kSlack = 0.05; // added to every time limit
-// An answer that comes up to this long after the request's time limit is late but not lost.
+// An answer that comes up to this long after the request's time limit earns nothing but is not lost.
 constexpr double kAnswerGrace = 0.5;
 // A server's release has to reach the client within this time.
 constexpr double kReleaseForwardingTime = 1;
--- a/src/soak/ledger.h
+++ b/src/soak/ledger.h
@@ -87,7 +87,8 @@
   void server_leaving(int server, int change);
   void server_reactivated(int server);
   void list_change_made(int change);
-  // The change was written whole to the front end.
+  // The change was written whole to the front end. Those in the file that a process starts with count as
+  // delivered at its start.
   void list_change_delivered(int front, int change);
   // Whether a new connection from the front end to discovery would work.
   void discovery_reachable(int front, bool reachable);
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -25,8 +25,8 @@
 
  private:
   std::vector<int> random_servers(double share);
-  std::vector<int>
-  random_fronts(double share); // Calls `call` at once and then at the interval, for `duration` seconds.
+  std::vector<int> random_fronts(double share);
+  // Calls `call` at once and then at the interval, for `duration` seconds.
   void repeat_every(double interval, double duration, std::function<void()> call);
   // Calls set(server, true) for random servers, and set(server, false) when the fault ends.
   template <class F> void toggle_on_servers(const Fault &fault, F set) {
