--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -77,8 +77,7 @@
     if (!front_) return std::nullopt;
     if (next.restart_path)
       return Rejection{ChangeError::conflict,
-                       *next.restart_path +
-                           ": a change takes effect only at a new start; edit the record file"};
+                       *next.restart_path + ": takes effect at a new start only; edit the record file"};
     if (auto reason = front_.load()->check_config(next.record, next.drained))
       return Rejection{ChangeError::conflict, *reason};
     return std::nullopt;
--- a/src/management/transaction.cpp
+++ b/src/management/transaction.cpp
@@ -91,7 +91,7 @@
                        std::to_string(current().number) + " is in force");
   if (state_ == State::awaiting_confirmation)
     return failure(ChangeError::unconfirmed_change,
-                   "revision " + std::to_string(current().number) + " awaits confirmation");
+                   "revision " + std::to_string(current().number) + " awaits its confirmation");
   double confirm_deadline = change.confirm_within > 0 ? now + change.confirm_within : 0;
   return commit({current().number + 1, change.document, change.user, change.cause, now, confirm_deadline,
                  current().number, change.commit_id});
@@ -125,7 +125,7 @@
   if (auto expired = roll_back_expired(now); expired.error != ChangeError::none) return expired;
   if (state_ == State::awaiting_confirmation)
     return failure(ChangeError::unconfirmed_change,
-                   "revision " + std::to_string(current().number) + " awaits confirmation");
+                   "revision " + std::to_string(current().number) + " awaits its confirmation");
   const Revision *target = find(revision);
   if (!target) return failure(ChangeError::unknown_revision, "no such revision: " + std::to_string(revision));
   return commit({current().number + 1, target->document, user,
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -26,7 +26,7 @@
 
 // Throws StoreError unless the operation succeeded.
 void check(const rocksdb::Status &status, const char *operation) {
-  if (!status.ok()) throw StoreError(std::string("store: ") + operation + ": " + status.ToString());
+  if (!status.ok()) throw StoreError(std::string("the store: ") + operation + ": " + status.ToString());
 }
 
 // Text that is not valid UTF-8 is replaced, so that a client's cause cannot make the dump throw.
@@ -46,7 +46,7 @@
     if (revision_key(revision.number) == key) return revision;
   } catch (const Json::exception &) {
   }
-  throw StoreError("store: no valid revision at key " + key);
+  throw StoreError("the store: no valid revision at key " + key);
 }
 
 // Reads all revisions in the order of their numbers and checks that none is missing.
@@ -57,7 +57,8 @@
        iterator->Next()) {
     out.push_back(deserialize(iterator->key().ToString(), iterator->value().ToString()));
     if (out.size() > 1 && out[out.size() - 2].number + 1 != out.back().number)
-      throw StoreError("store: the history lacks revision " + std::to_string(out[out.size() - 2].number + 1));
+      throw StoreError("the store: the history lacks revision " +
+                       std::to_string(out[out.size() - 2].number + 1));
   }
   check(iterator->status(), "reading the history");
   return out;
