--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -147,7 +147,7 @@
   if (!reply.ok()) return refused(reply);
   if (running.size() != 1) throw std::runtime_error("the front told of no configuration");
   std::string document = model.check(Json{{"snowshore:front", running[0].value}}.dump());
-  return diff_documents(model, document, model.document_of(site::load_front(given.files).record));
+  return diff_documents(model, document, model.document_of(site::load_front_config(given.files).record));
 }
 
 void print_history(std::uint64_t revision, double at, const std::string &user, const std::string &cause,
--- a/src/cli/snowshore.cpp
+++ b/src/cli/snowshore.cpp
@@ -58,9 +58,9 @@
   if (*edge) return program::run_edge(files, SNOWSHORE_VERSION);
   if (int code = cli::run_manage(app); code >= 0) return code;
   try {
-    site::FrontRecord record = site::load_front(files);
+    site::FrontConfig record = site::load_front_config(files);
     if (show)
-      std::cout << record.shown << "\n";
+      std::cout << record.settled_text << "\n";
     else
       std::cout << "the records of front " << record.name << " are right\n";
     return 0;
--- a/src/decision/connection_budget.h
+++ b/src/decision/connection_budget.h
@@ -1,7 +1,8 @@
-// Which connection to a server is closed when all that servers may have are in use and another is wanted. No
-// I/O, no clock. The order: one of a server without sessions; one of several to a server; at last the only
-// one of a server with sessions, the longest open first. Such a server is visited again soon: a connection is
-// opened on which it says what it could not say meanwhile.
+// Chooses the connection to close when all connections that servers may have are in use and another one is
+// wanted. No I/O, no clock. Connections go in this order: to a server without sessions; to a server with
+// several connections; last, the only connection to a server with sessions. Within each class the one that
+// has been open longest goes first. A server whose only connection was closed is revisited soon: a new
+// connection is opened, on which the server says what it could not say meanwhile.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -11,26 +12,31 @@
 
 namespace snowshore {
 
-struct ConnectionUse { // of one server that has a connection without set-ups, which may be closed
+// The connections to one server that has at least one without set-ups, which may be closed.
+struct ServerConnections {
   int server = 0;
   std::size_t sessions = 0, connections = 0;
-  double open_since = 0; // of the oldest connection without set-ups, seconds
+  // Time at which the oldest connection without set-ups was opened, in seconds.
+  double open_since = 0;
 };
 
 struct ConnectionBudget {
-  // A release that could not be sent is owed to its client 8 s after the session's end (protocol page): three
-  // visits fit, one of them may fail.
-  static constexpr double kVisitEvery = 2.5;
-  static constexpr double kLeastStay =
-      0.3; // a connection that was opened for a visit stays so long to be heard on
+  // Seconds between two visits to a server whose connection was closed. A release that could not be sent is
+  // owed to its client 8 s after the session's end (protocol page): three visits fit into that time, and one
+  // of them may fail.
+  static constexpr double kRevisitInterval = 2.5;
+  // Seconds that a connection opened for a visit stays open, so that the server can be heard on it.
+  static constexpr double kMinVisitTime = 0.3;
 };
 
-// The server whose connection goes, or nothing where none may.
-inline std::optional<int> connection_to_close(std::span<const ConnectionUse> uses, double now) {
-  auto rank = [](const ConnectionUse &one) { return one.sessions == 0 ? 0 : one.connections > 1 ? 1 : 2; };
-  const ConnectionUse *best = nullptr;
-  for (const ConnectionUse &one : uses) {
-    if (rank(one) == 2 && now - one.open_since < ConnectionBudget::kLeastStay) continue;
+// Returns the server whose connection is to be closed, or nothing where none may be.
+inline std::optional<int> connection_to_close(std::span<const ServerConnections> uses, double now) {
+  auto rank = [](const ServerConnections &one) {
+    return one.sessions == 0 ? 0 : one.connections > 1 ? 1 : 2;
+  };
+  const ServerConnections *best = nullptr;
+  for (const ServerConnections &one : uses) {
+    if (rank(one) == 2 && now - one.open_since < ConnectionBudget::kMinVisitTime) continue;
     bool better =
         !best || rank(one) < rank(*best) || (rank(one) == rank(*best) && one.open_since < best->open_since);
     if (better) best = &one;
--- a/src/decision/overrun_bound.h
+++ b/src/decision/overrun_bound.h
@@ -1,19 +1,21 @@
-// The mechanism of admission: a Chernoff bound on the summed rates of a link's sessions overrunning the link.
-// Rates are Gamma-spread; source: the paper and design page that docs/design.md cites. Rates in kB a second.
+// Admission control: a Chernoff bound on the probability that the summed rates of a link's sessions exceed
+// the link's capacity. Rates are Gamma-distributed and given in kB per second. Source: the paper and the
+// design page that docs/design.md cites.
 #pragma once
 #include <span>
 
 namespace snowshore {
 
-// One group of equal Gamma-spread rates on a link: so many sessions of this mean rate and variation
-// coefficient.
+// A group of sessions on one link whose rates have the same Gamma distribution: their number, mean rate and
+// coefficient of variation.
 struct RateGroup {
   double plays = 0;
   double rate = 0;
   double variation = 0;
 };
 
-// Natural logarithm of the Chernoff bound on the groups' summed rates overrunning the link (0: certain).
+// Returns the natural logarithm of the Chernoff bound on the probability that the groups' summed rates exceed
+// `link`; 0 where the bound excludes nothing.
 double log_overrun_bound(std::span<const RateGroup> groups, double link);
 
 } // namespace snowshore
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -1,5 +1,5 @@
-// The budget of further attempts: in every window of the span, so many for free and a share of the requests
-// taken in it. No clock: the time comes with each call, in seconds, and never goes back.
+// The retry budget: in each sliding window, a fixed number of retries plus a share of the requests accepted
+// in it. There is no clock: the time comes with each call, in seconds, and never decreases.
 #pragma once
 #include <algorithm>
 #include <vector>
@@ -8,28 +8,33 @@
 
 class RetryBudget {
  public:
-  struct Terms {
-    double span = 0;  // seconds; 0: no limit
-    double free = 0;  // attempts
-    double share = 0; // of the requests taken within the span
+  struct Settings {
+    // Length of the window in seconds; 0 means that retries are not limited.
+    double window = 0;
+    // Retries that are allowed whatever the number of requests.
+    double free_retries = 0;
+    // Further retries, as a share of the requests accepted in the window.
+    double retry_share = 0;
   };
-  void set(const Terms &terms) { terms_ = terms; }
+  void set_settings(const Settings &settings) { settings_ = settings; }
 
-  void request_taken(double now) {
-    std::erase_if(taken_, [&](double at) { return at <= now - terms_.span; });
-    if (terms_.span > 0) taken_.push_back(now);
+  void request_accepted(double now) {
+    std::erase_if(requests_, [&](double at) { return at <= now - settings_.window; });
+    if (settings_.window > 0) requests_.push_back(now);
   }
+  // Returns whether one more retry fits into the budget.
   bool allows(double now) {
-    std::erase_if(further_, [&](double at) { return at < now - terms_.span; });
-    auto taken = std::ranges::count_if(taken_, [&](double at) { return at > now - terms_.span; });
-    double allowed = terms_.free + terms_.share * static_cast<double>(taken);
-    return terms_.span <= 0 || static_cast<double>(further_.size()) + 1 <= allowed;
+    std::erase_if(retries_, [&](double at) { return at < now - settings_.window; });
+    auto taken = std::ranges::count_if(requests_, [&](double at) { return at > now - settings_.window; });
+    double allowed = settings_.free_retries + settings_.retry_share * static_cast<double>(taken);
+    return settings_.window <= 0 || static_cast<double>(retries_.size()) + 1 <= allowed;
   }
-  void attempt_made(double now) { further_.push_back(now); } // a further one
+  void retry_made(double now) { retries_.push_back(now); }
 
  private:
-  Terms terms_;
-  std::vector<double> taken_, further_; // moments
+  Settings settings_;
+  // Times of requests and of retries within the window, ascending.
+  std::vector<double> requests_, retries_;
 };
 
 } // namespace snowshore
--- a/src/decision/sorted_indices.h
+++ b/src/decision/sorted_indices.h
@@ -1,5 +1,5 @@
-// A set of small indices in rising order, for sets that are walked often and change less. Adding or taking
-// one out costs a move of those behind it; memory grows to the most that were held at a time.
+// A set of small indices in ascending order, for sets that are iterated often and change less often. Adding
+// or removing an index moves all that follow it; memory grows to the largest size that the set has had.
 #pragma once
 #include <algorithm>
 #include <vector>
@@ -9,22 +9,22 @@
 class SortedIndices {
  public:
   void add(int index) {
-    auto at = std::lower_bound(all_.begin(), all_.end(), index);
-    if (at == all_.end() || *at != index) all_.insert(at, index);
+    auto at = std::lower_bound(indices_.begin(), indices_.end(), index);
+    if (at == indices_.end() || *at != index) indices_.insert(at, index);
   }
   void remove(int index) {
-    auto at = std::lower_bound(all_.begin(), all_.end(), index);
-    if (at != all_.end() && *at == index) all_.erase(at);
+    auto at = std::lower_bound(indices_.begin(), indices_.end(), index);
+    if (at != indices_.end() && *at == index) indices_.erase(at);
   }
-  bool contains(int index) const { return std::binary_search(all_.begin(), all_.end(), index); }
-  std::size_t size() const { return all_.size(); }
-  bool empty() const { return all_.empty(); }
-  auto begin() const { return all_.begin(); }
-  auto end() const { return all_.end(); }
-  const std::vector<int> &values() const { return all_; }
+  bool contains(int index) const { return std::binary_search(indices_.begin(), indices_.end(), index); }
+  std::size_t size() const { return indices_.size(); }
+  bool empty() const { return indices_.empty(); }
+  auto begin() const { return indices_.begin(); }
+  auto end() const { return indices_.end(); }
+  const std::vector<int> &values() const { return indices_; }
 
  private:
-  std::vector<int> all_;
+  std::vector<int> indices_;
 };
 
 } // namespace snowshore
--- a/src/edge/change.cpp
+++ b/src/edge/change.cpp
@@ -14,45 +14,45 @@
 } // namespace
 
 // Limits under what is in use would break a rule for plays that are in hand.
-std::optional<std::string> Edge::in_use(const FrontRecord &next) {
-  if (core_.plays().open() > next.limits.open_plays)
-    return held("/front/limits/open_plays", core_.plays().open());
+std::optional<std::string> Edge::in_use(const FrontConfig &next) {
+  if (core_.plays().open_count() > next.limits.max_open_plays)
+    return held("/front/limits/open_plays", core_.plays().open_count());
   if (players_->connections() > next.limits.players.connections)
     return held("/front/limits/connections", players_->connections());
   if (client_.connections() > next.limits.servers.in_all)
     return held("/front/limits/all_connections", client_.connections());
   std::optional<std::string> why;
   std::map<std::pair<int, int>, int> seats; // by title and product
-  core_.plays().each([&](int index) {
-    const HeldPlay &play = core_.plays().at(index);
+  core_.plays().for_each([&](int index) {
+    const PlayRecord &play = core_.plays().at(index);
     if (play.state != PlayState::playing && play.state != PlayState::allocating) return;
-    const ProductTerms &terms = next.products[static_cast<std::size_t>(play.product)];
+    const ProductSettings &terms = next.products[static_cast<std::size_t>(play.product)];
     std::string path = "/front/products[name=" + terms.name + "]";
-    if (play.rung < terms.floor) why = path + "/floor: a play is at rung " + std::to_string(play.rung);
-    if (play.rung > terms.top) why = path + "/top: a play is at rung " + std::to_string(play.rung);
+    if (play.rung < terms.min_rung) why = path + "/floor: a play is at rung " + std::to_string(play.rung);
+    if (play.rung > terms.max_rung) why = path + "/top: a play is at rung " + std::to_string(play.rung);
     int taken = ++seats[{play.title, play.product}];
-    if (terms.seats > 0 && taken > terms.seats)
+    if (terms.seats_per_title > 0 && taken > terms.seats_per_title)
       why =
           path + "/seats: " + std::to_string(taken) + " or more are taken of title " + core_.title_of(index);
   });
   return why;
 }
 
-std::optional<std::string> Edge::refusal_of(const FrontRecord &next, bool drained) {
+std::optional<std::string> Edge::refusal_of(const FrontConfig &next, bool drained) {
   if (!drained) return in_use(next);
-  if (core_.plays().open() > 0)
-    return "needs a drain: " + std::to_string(core_.plays().open()) +
+  if (core_.plays().open_count() > 0)
+    return "needs a drain: " + std::to_string(core_.plays().open_count()) +
            " plays are in hand (set /front/take_plays false, "
            "then wait)";
   // A module made anew has no memory of further allocations: their window must have passed.
-  double window = std::max(record_.further_span, next.further_span);
-  if (double quiet = core_.clock().exact() - core_.last_allocation(); quiet < window)
+  double window = std::max(record_.retry_window, next.retry_window);
+  if (double quiet = core_.clock().read_now() - core_.last_allocation_at(); quiet < window)
     return "needs a drain: the window of further allocations ends in " + std::to_string(window - quiet) +
            " s";
   return std::nullopt;
 }
 
-std::optional<std::string> Edge::change(const FrontRecord &next, bool drained) {
+std::optional<std::string> Edge::change(const FrontConfig &next, bool drained) {
   if (auto why = refusal_of(next, drained)) return why;
   std::unique_ptr<http::Server> moved; // what may fail comes first
   if (next.players != record_.players) {
@@ -72,9 +72,9 @@
   }
   take_limits();
   if (!drained) {
-    core_.change(core_terms(record_));
+    core_.apply_settings(core_terms(record_));
   } else {
-    core_.renew(core_terms(record_));
+    core_.restart_engine(core_terms(record_));
   }
   log_.info("changed", {{"drained", drained}, {"players", players_->local().port()}});
   if (on_changed) on_changed();
@@ -85,26 +85,26 @@
   players_->set_limits(record_.limits.players);
   operators_.set_limits(record_.limits.players);
   client_.set_limits(record_.limits.servers);
-  report_times_ = {record_.limits.report_silence, record_.limits.lost_after, record_.limits.probe_time};
-  log_.set_level(telemetry::level_of(record_.log_level));
+  report_times_ = {record_.limits.report_silence, record_.limits.lost_after, record_.limits.probe_timeout};
+  log_.set_level(telemetry::parse_log_level(record_.log_level));
 }
 
-site::FrontState Edge::state() {
-  site::FrontState out;
+site::FrontSnapshot Edge::state() {
+  site::FrontSnapshot out;
   out.boot = identity_.boot;
   out.uptime = core_.clock().now() - opened_;
-  out.service = service() == Service::starting                        ? "starting"
-                : service() == Service::serving && record_.take_plays ? "serving"
-                                                                      : "draining";
+  out.service = service() == Service::starting                          ? "starting"
+                : service() == Service::serving && record_.accept_plays ? "serving"
+                                                                        : "draining";
   out.list_version = core_.list_version();
   if (core_.has_list()) out.list_age = core_.list_age();
   for (std::size_t s = 1; s < kPlayStates; ++s)
     out.plays.emplace_back(name_of(static_cast<PlayState>(s)),
                            core_.plays().count(static_cast<PlayState>(s)));
-  out.answers = core_.answers_so_far();
-  for (const ListedServer &one : core_.list().servers) {
-    int server = core_.server_of(one.id);
-    out.servers.push_back({one.id, one.standing, server >= 0 ? core_.view_of(server) : ServerView{}});
+  out.answers = core_.answer_counts();
+  for (const ListedServer &one : core_.server_list().servers) {
+    int server = core_.find_server(one.id);
+    out.servers.push_back({one.id, one.status, server >= 0 ? core_.server_view(server) : ServerView{}});
   }
   return out;
 }
--- a/src/edge/channel.cpp
+++ b/src/edge/channel.cpp
@@ -7,7 +7,7 @@
 
 namespace snowshore::edge {
 
-using telemetry::span;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -44,7 +44,7 @@
                    done = std::move(done)](const http::Result &result) {
     if (alive.expired()) return;
     SetUpResult out;
-    out.took = result.took;
+    out.duration = result.took;
     switch (result.ending) {
     case http::Ending::unreachable:
     case http::Ending::no_room:
@@ -198,7 +198,7 @@
 
 void Channel::reopen_later() {
   become(Stream::waiting);
-  reopen_timer_.expires_after(span(pauses_.next()));
+  reopen_timer_.expires_after(to_timer_duration(pauses_.next()));
   reopen_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (!error && !alive.expired() && stream_ == Stream::waiting) open_stream();
   });
@@ -207,7 +207,7 @@
 // A stream that says nothing is no better than none: it is opened anew, and after lost_after its plays have
 // ended.
 void Channel::watch() {
-  watch_timer_.expires_after(span(std::max(0.05, times_.silence / 4)));
+  watch_timer_.expires_after(to_timer_duration(std::max(0.05, times_.silence / 4)));
   watch_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired() || stream_ == Stream::closed) return;
     // A front that stood still itself has not listened: what servers said meanwhile is read first.
--- a/src/edge/list_source.cpp
+++ b/src/edge/list_source.cpp
@@ -45,7 +45,7 @@
     });
   }
 
-  void ask() override {
+  void request_list() override {
     asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
       if (!alive.expired()) read_list_file();
     });
@@ -56,7 +56,7 @@
 
   void read_list_file() {
     try {
-      events_.list(read_list(list_, records::load_file(list_).text));
+      events_.list(parse_server_list(list_, records::load_file(list_).text));
     } catch (const records::RecordError &error) {
       events_.unavailable(error.what());
     }
@@ -64,7 +64,7 @@
 
   void read_catalogue_file() {
     try {
-      events_.catalogue(read_catalogue(catalogue_, records::load_file(catalogue_).text));
+      events_.catalogue(parse_catalogue(catalogue_, records::load_file(catalogue_).text));
     } catch (const records::RecordError &error) {
       events_.unavailable(error.what());
     }
@@ -125,7 +125,7 @@
     }
     changed(list_, list_stamp_), changed(catalogue_, catalogue_stamp_);
   }
-  bool polls() const override { return true; }
+  bool is_polling() const override { return true; }
 
  private:
   struct Stamp {
@@ -146,7 +146,7 @@
   }
 
   void wait() override {
-    timer_.expires_after(telemetry::span(kPollEvery));
+    timer_.expires_after(telemetry::to_timer_duration(kPollEvery));
     timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
       if (alive.expired() || error) return;
       if (changed(catalogue_, catalogue_stamp_)) read_catalogue_file();
@@ -161,7 +161,7 @@
 
 } // namespace
 
-ServerList read_list(const std::string &name, const std::string &text) {
+ServerList parse_server_list(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
   records::Record record = records::read(files, site::front_schema(), "#List");
   ServerList out;
@@ -173,11 +173,11 @@
     server.id = one.text("id");
     server.hall = one.text("hall"), server.kind = one.text("kind");
     server.cell = one.whole("cell");
-    server.weight = one.number("weight"), server.started = one.number("started");
+    server.weight = one.number("weight"), server.started_at = one.number("started");
     std::string standing = one.text("standing");
-    server.standing = standing == "active"    ? Standing::active
-                      : standing == "leaving" ? Standing::leaving
-                                              : Standing::left;
+    server.status = standing == "active"    ? ServerStatus::active
+                    : standing == "leaving" ? ServerStatus::leaving
+                                            : ServerStatus::left;
     try {
       server.address = site::parse_endpoint(one.text("address"));
     } catch (const std::invalid_argument &error) {
@@ -193,7 +193,7 @@
   return out;
 }
 
-Catalogue read_catalogue(const std::string &name, const std::string &text) {
+Catalogue parse_catalogue(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
   records::Record record = records::read(files, site::front_schema(), "#Catalogue");
   Catalogue out;
--- a/src/edge/list_source.h
+++ b/src/edge/list_source.h
@@ -1,5 +1,6 @@
-// Where the front learns of servers and of what they hold. A file source watches two record files; a registry
-// will stand behind the same interface. Calls come on the executor, never from within start() or ask().
+// Sources of the server list and of the title catalogue. This file declares the interface and the source that
+// reads two record files; feed::Client is another implementation. Events come on the executor, never from
+// within start() or request_list().
 #pragma once
 #include "decision/policy.h"
 #include "http/server.h"
@@ -19,35 +20,45 @@
 using registry::ListedServer;
 using registry::ServerList;
 
-struct TitlePlace { // the cells that hold a title
-  int first_cell = 0, cells = 0;
+// The cells that hold a title: this many, from first_cell on.
+struct TitleCells {
+  int first_cell = 0, cell_count = 0;
 };
-using Catalogue = std::map<std::string, TitlePlace, std::less<>>;
+// Titles by name.
+using Catalogue = std::map<std::string, TitleCells, std::less<>>;
 
+// Reports the server list, its changes and the catalogue from start() on.
 class ListSource {
  public:
   struct Events {
-    std::function<void(ServerList)> list;     // the whole list, in place of the last
-    std::function<void(ServerList)> changes;  // the servers that changed since; only after a whole list
-    std::function<void(Catalogue)> catalogue; // likewise
-    std::function<void(const std::string &why)> unavailable; // the last in hand stays in force
+    // A whole list, which replaces the previous one.
+    std::function<void(ServerList)> list;
+    // The servers that changed since the previous list or change; comes only after a whole list.
+    std::function<void(ServerList)> changes;
+    // A whole catalogue, which replaces the previous one.
+    std::function<void(Catalogue)> catalogue;
+    // The source cannot be read; the previous list stays in force.
+    std::function<void(const std::string &why)> unavailable;
   };
   virtual ~ListSource() = default;
   virtual void start(Events events) = 0;
-  virtual void ask() = 0; // for the list anew; answers by an event
-  virtual bool polls() const { return false; }
+  // Requests the whole list; the result comes as an event.
+  virtual void request_list() = 0;
+  // Returns whether the source polls because it cannot watch for changes.
+  virtual bool is_polling() const { return false; }
 };
 
-// Watches both files' folders (inotify), so that a file written beside and renamed over is seen whole; where
-// the system has no watch left to give, polls them.
+// Makes a source that watches the folders of both files with inotify, so that a file which is replaced by a
+// rename is read whole. Where the system has no inotify watch left, the source polls the files.
 std::unique_ptr<ListSource> watch_files(asio::io_context &io, const std::string &list,
                                         const std::string &catalogue);
 
+// Makes a source that polls both files.
 std::unique_ptr<ListSource> poll_files(asio::io_context &io, const std::string &list,
                                        const std::string &catalogue);
 
-// The records' reading, apart from the watching. Throw records::RecordError.
-ServerList read_list(const std::string &name, const std::string &text);
-Catalogue read_catalogue(const std::string &name, const std::string &text);
+// Parse the text of a record file; `name` stands in error messages. They throw records::RecordError.
+ServerList parse_server_list(const std::string &name, const std::string &text);
+Catalogue parse_catalogue(const std::string &name, const std::string &text);
 
 } // namespace snowshore::edge
--- a/src/edge/send_guard.h
+++ b/src/edge/send_guard.h
@@ -1,7 +1,8 @@
-// The one place that says whether something may be sent, repeated, closed or started now. Whoever is about to
-// asks here first; what is denied is not done. The rest of the front end is built so that nothing is ever
-// denied: each denial is a defect, counted, logged with id and reason, and fails the tests and the soak. It
-// knows what is out on the wire and since when servers leave; the state of sessions is the table's (plays.h).
+// Checks each protocol-relevant action right before it is done: a set-up or its repetition, an answer, a
+// release, a new connection, the exit of the process. A denied action is not done. The rest of the front end
+// is built so that nothing is ever denied: each denial is a defect, which is counted and logged with its id
+// and reason and which fails the tests and the soak runs. The guard knows which set-ups are pending and since
+// when servers leave; the state of a play comes from the play table (plays.h). Times are seconds.
 #pragma once
 #include "decision/policy.h"
 #include "edge/plays.h"
@@ -15,58 +16,74 @@
 
 namespace snowshore::edge {
 
-enum class Action { attempt, answer, release, connect, exit };
+// The actions that are checked.
+enum class GuardedAction { attempt, answer, release, connect, exit };
 inline constexpr std::size_t kActions = 5;
-std::string_view name_of(Action action);
+std::string_view name_of(GuardedAction action);
 
-enum class Denial {
+// Why an action was denied.
+enum class DenialReason {
   none,
-  not_waiting,         // the session has its answer, or its client has left
-  another_attempt_out, // of the same session
+  // The play has its answer, or its player has left.
+  not_waiting,
+  // Another set-up of the same play is pending.
+  attempt_already_pending,
   server_left,
+  // The server has been leaving for longer than the drain grace.
   drain_grace_over,
-  closing, // past the moment after which the planned end begins nothing
+  // The shutdown has reached the time after which nothing new is begun.
+  shutting_down,
   not_active,
-  still_owed, // answers or releases, inside the budget of the planned end
+  // Answers or releases are unsent, and the shutdown's time budget is not used up.
+  messages_pending,
 };
-std::string_view name_of(Denial denial);
+std::string_view name_of(DenialReason denial);
 
 class SendGuard {
  public:
+  // drain_grace: seconds for which a leaving server still accepts set-ups.
   SendGuard(telemetry::Log &log, double drain_grace) : log_(log), drain_grace_(drain_grace) {}
   void set_drain_grace(double seconds) { drain_grace_ = seconds; }
 
-  // ---- What it is told.
-  void server_told(int server, Standing standing, double now);
-  void server_forgotten(int server);
-  void attempt_out(std::uint64_t session, int server) { out_[session] = server; }
-  void attempt_over(std::uint64_t session) { out_.erase(session); }
-  void closes_at(double moment) { closes_at_ = moment; }
+  // ---- Facts.
+  void set_server_status(int server, ServerStatus standing, double now);
+  void remove_server(int server);
+  // A set-up of the play with this id was sent to the server, and has ended.
+  void attempt_started(std::uint64_t session, int server) { pending_[session] = server; }
+  void attempt_finished(std::uint64_t session) { pending_.erase(session); }
+  // No set-up may begin after this time.
+  void set_shutdown_time(double moment) { shutdown_at_ = moment; }
 
-  // ---- What it is asked; true: it may be done.
-  bool may_attempt(const HeldPlay &session, int server, double now); // for the first time or again
-  bool may_answer(const HeldPlay &session);
-  bool may_release(const HeldPlay &session);
+  // ---- Checks. Each returns whether the action may be done; a denial is counted and logged.
+  // For a first set-up and for a repeated one.
+  bool may_attempt(const PlayRecord &session, int server, double now);
+  bool may_answer(const PlayRecord &session);
+  bool may_release(const PlayRecord &session);
   bool has_left(int server) const;
   bool may_connect(int server);
+  // owes: answers or releases are still unsent. waits_until: the end of the shutdown's time budget.
   bool may_exit(bool owes, double now, double waits_until);
 
-  std::uint64_t denied(Action action) const { return denied_[static_cast<std::size_t>(action)]; }
+  // Number of denials so far, of one action and in total.
+  std::uint64_t denied(GuardedAction action) const { return denied_[static_cast<std::size_t>(action)]; }
   std::uint64_t denied() const;
-  std::size_t attempts_out() const { return out_.size(); }
+  // Number of pending set-ups.
+  std::size_t pending_attempts() const { return pending_.size(); }
 
  private:
-  struct Told {
-    Standing standing = Standing::active;
-    double leaves_since = 0;
+  struct ServerInfo {
+    ServerStatus status = ServerStatus::active;
+    double leaving_since = 0;
   };
-  bool decide(Action action, Denial denial, std::uint64_t session, int server);
-  Denial denial_of_attempt(const HeldPlay &session, int server, double now) const;
+  bool decide(GuardedAction action, DenialReason denial, std::uint64_t session, int server);
+  DenialReason denial_of_attempt(const PlayRecord &session, int server, double now) const;
 
   telemetry::Log &log_;
-  double drain_grace_, closes_at_ = 1e18;
-  std::vector<Told> servers_;                  // by index
-  std::unordered_map<std::uint64_t, int> out_; // sessions with an attempt on the wire: at which server
+  double drain_grace_, shutdown_at_ = 1e18;
+  // By index.
+  std::vector<ServerInfo> servers_;
+  // The server of each pending set-up, by the play's id.
+  std::unordered_map<std::uint64_t, int> pending_;
   std::array<std::uint64_t, kActions> denied_{};
 };
 
--- a/src/edge/serve.cpp
+++ b/src/edge/serve.cpp
@@ -40,7 +40,7 @@
   };
   wait();
   while (!io.stopped()) {
-    clock.turn();
+    clock.invalidate();
     if (io.run_one() == 0) break;
     for (int i = 0; i < kTurnLimit && io.poll_one() > 0; ++i) {
     }
--- a/src/feed/client.cpp
+++ b/src/feed/client.cpp
@@ -6,8 +6,8 @@
 
 namespace snowshore::feed {
 
-using telemetry::span;
-using telemetry::steady_now;
+using telemetry::steady_seconds;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -30,11 +30,11 @@
 
 void Client::become(State next) { state_ = next; } // the one place where it changes
 
-double Client::silent_for() const { return steady_now() - heard_at_; }
+double Client::silent_for() const { return steady_seconds() - heard_at_; }
 
 void Client::start(Events events) {
   events_ = std::move(events);
-  heard_at_ = steady_now();
+  heard_at_ = steady_seconds();
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (alive.expired()) return;
     events_.list(list_.release());
@@ -43,7 +43,7 @@
   });
 }
 
-void Client::ask() {
+void Client::request_list() {
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired() && state_ != State::idle) connect();
   });
@@ -66,7 +66,7 @@
   reader_.clear();
   gap_ = false;
   become(State::connecting);
-  connecting_at_ = steady_now();
+  connecting_at_ = steady_seconds();
   socket_.async_connect(at_,
                         [this, turn = turn_, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
                           if (alive.expired() || turn != turn_) return;
@@ -75,7 +75,7 @@
                             return pause();
                           }
                           become(State::following);
-                          heard_at_ = steady_now();
+                          heard_at_ = steady_seconds();
                           for (std::size_t i = 0; i < 8; ++i)
                             hello_[i] = static_cast<unsigned char>(list_.number() >> (56 - 8 * i));
                           asio::async_write(socket_, asio::buffer(hello_),
@@ -92,7 +92,7 @@
                                                      asio::error_code error, std::size_t size) {
     if (alive.expired() || turn != turn_) return;
     if (error) return broken("closed");
-    heard_at_ = steady_now();
+    heard_at_ = steady_seconds();
     changed_ = false;
     bool readable =
         reader_.take(std::string_view(buffer_.data(), size), [&](const Event &event) { apply(event); });
@@ -153,20 +153,20 @@
   asio::error_code ignored;
   socket_.close(ignored);
   become(State::pausing);
-  pause_timer_.expires_after(span(pauses_.next()));
+  pause_timer_.expires_after(to_timer_duration(pauses_.next()));
   pause_timer_.async_wait([this, turn = turn_, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (!error && !alive.expired() && turn == turn_) connect();
   });
 }
 
 void Client::watch() {
-  watch_timer_.expires_after(span(kWatchEvery));
+  watch_timer_.expires_after(to_timer_duration(kWatchEvery));
   watch_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
-    if (state_ == State::following && steady_now() - heard_at_ > kSilence) {
+    if (state_ == State::following && steady_seconds() - heard_at_ > kSilence) {
       ++counters_.silences;
       broken("silent");
-    } else if (state_ == State::connecting && steady_now() - connecting_at_ > kConnectTime) {
+    } else if (state_ == State::connecting && steady_seconds() - connecting_at_ > kConnectTime) {
       ++counters_.refused;
       pause();
     }
--- a/src/feed/client.h
+++ b/src/feed/client.h
@@ -22,7 +22,7 @@
          telemetry::Log &log);
   ~Client() override;
   void start(Events events) override;
-  void ask() override; // connects anew: the channel then brings all that it has
+  void request_list() override; // connects anew: the channel then brings all that it has
   void move_to(const asio::ip::tcp::endpoint &at);
   const Counters &counters() const { return counters_; }
   double silent_for() const; // since something was heard on the channel
--- a/src/feed/frames.cpp
+++ b/src/feed/frames.cpp
@@ -18,7 +18,7 @@
   return value;
 }
 
-constexpr Standing kStandings[] = {Standing::active, Standing::leaving, Standing::left};
+constexpr ServerStatus kStandings[] = {ServerStatus::active, ServerStatus::leaving, ServerStatus::left};
 constexpr const char *kStandingNames[] = {"active", "leaving", "left"};
 
 } // namespace
@@ -57,7 +57,7 @@
   for (std::size_t at = 0; at < payload.size(); at += kRecord) {
     edge::ListedServer one;
     auto id = static_cast<std::uint32_t>(number_at(payload, at, 4));
-    one.id = server_name(id), one.number = id;
+    one.id = server_name(id), one.stable_id = id;
     one.address = {asio::ip::address_v4(static_cast<std::uint32_t>(number_at(payload, at + 4, 4))),
                    static_cast<unsigned short>(number_at(payload, at + 8, 2))};
     std::size_t state = number_at(payload, at + 10, 1), hall = number_at(payload, at + 11, 1),
@@ -69,11 +69,11 @@
                                   std::to_string(one.address.port()));
       continue;
     }
-    one.standing = kStandings[state];
+    one.status = kStandings[state];
     one.hall = places_.halls[hall], one.kind = places_.kinds[model];
     one.cell = static_cast<int>(number_at(payload, at + 13, 2));
     one.weight = static_cast<double>(number_at(payload, at + 15, 4)) / 1000;
-    one.started = static_cast<double>(number_at(payload, at + 19, 8)) / 1000;
+    one.started_at = static_cast<double>(number_at(payload, at + 19, 8)) / 1000;
     event.servers.push_back(std::move(one));
   }
   return 4 + length;
@@ -115,7 +115,7 @@
     one.id = text(target, "uid", at);
     auto id = server_number(one.id);
     if (!id) throw bad(at + ".uid", "s- and 8 hex digits are due");
-    one.number = *id;
+    one.stable_id = *id;
     std::string address = text(target, "endpoint", at);
     try {
       one.address = site::parse_endpoint(address);
@@ -125,11 +125,11 @@
     one.hall = text(target, "az", at), one.kind = text(target, "model", at);
     one.cell = static_cast<int>(number(target, "pod_group", at));
     one.weight = number(target, "capacity_hint", at);
-    one.started = number(target, "boot_ms", at) / 1000;
+    one.started_at = number(target, "boot_ms", at) / 1000;
     std::string state = text(target, "state", at);
     bool known = false;
     for (std::size_t s = 0; s < 3; ++s) {
-      if (state == kStandingNames[s]) one.standing = kStandings[s], known = true;
+      if (state == kStandingNames[s]) one.status = kStandings[s], known = true;
     }
     if (!known) throw bad(at + ".state", "active, leaving or left is due");
     event.servers.push_back(std::move(one));
--- a/src/given/hex_id.h
+++ b/src/given/hex_id.h
@@ -1,4 +1,4 @@
-// Ids as the platform writes them: 16 hex digits in lower case, nothing else.
+// Ids in the platform's written form: exactly 16 lower-case hexadecimal digits.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -7,7 +7,8 @@
 
 namespace snowshore::given {
 
-inline std::optional<std::uint64_t> read_hex16(std::string_view text) {
+// Returns nothing where the text has another form.
+inline std::optional<std::uint64_t> parse_hex16(std::string_view text) {
   if (text.size() != 16) return std::nullopt;
   std::uint64_t value = 0;
   for (char c : text) {
@@ -18,7 +19,7 @@
   return value;
 }
 
-inline std::string write_hex16(std::uint64_t value) {
+inline std::string format_hex16(std::uint64_t value) {
   std::string out(16, '0');
   for (std::size_t i = 16; i-- > 0; value >>= 4) out[i] = "0123456789abcdef"[value & 15];
   return out;
--- a/src/given/translate.cpp
+++ b/src/given/translate.cpp
@@ -30,14 +30,14 @@
     {"family_info.rate_factor", given::kProductRateFactors},
     {"family_info.is_live", given::kProductLive},
     {"family_info.full_from", given::kServerFullFrom},
-    {"family_info.join_adds", given::kSharedViewerAdds},
-    {"family_info.kind_slots", given::kKindPlaces},
-    {"family_info.links_kb", given::kLinksInAll},
+    {"family_info.join_adds", given::kSharedViewerCost},
+    {"family_info.kind_slots", given::kKindCapacities},
+    {"family_info.links_kb", given::kTotalLinkCapacity},
     {"family_info.groups", given::kRacks},
     {"family_info.ladder_kb", given::kRungRates},
     {"family_info.worth_by_rung", given::kRungImportance},
-    {"family_info.seen_after", given::kNoteDelay},
-    {"family_info.reports_every", given::kLinkNoteInterval},
+    {"family_info.seen_after", given::kFeedbackDelay},
+    {"family_info.reports_every", given::kLinkFeedbackInterval},
     {"family_info.shortfall_cost", given::kShortfallCost},
     {"family_info.switch_cost_s", given::kRungStepCost},
     {"family_info.rack_link_kb", given::kRackUplink},
@@ -51,32 +51,29 @@
     {"prices.probe", given::kProbePrice},
     {"prices.cross_zone", given::kCrossHallPrice},
     {"prices.late_fail", given::kLateFailurePrice},
-    {"report.how", given::kLoadComesWith},
+    {"report.how", given::kLoadReportSource},
     {"report.names", given::kLoadFields},
     {"rules.cold", given::kWarmUp},
     {"rules.cold_from", given::kColdShare},
-    {"rules.fall_multiple", given::kFallMultiple},
-    {"rules.tip_after", given::kFallSpan},
+    {"rules.fall_multiple", given::kColdOverloadMultiple},
+    {"rules.tip_after", given::kColdOverloadWindow},
     {"rules.stop_sending_within", given::kDrainGrace},
-    {"rules.repeat_ratio", given::kFurtherShare},
-    {"rules.free_resends", given::kFurtherFree},
-    {"rules.budget_span", given::kFurtherSpan},
+    {"rules.repeat_ratio", given::kRetryShare},
+    {"rules.free_resends", given::kFreeRetries},
+    {"rules.budget_span", given::kRetryWindow},
     {"rules.answer_slack", given::kAnswerSlack},
 };
 
 constexpr Name kProductNames[] = {
-    {"on_time", given::kFirstFrameTarget},
-    {"deadline", given::kTimeLimit},
-    {"worth", given::kImportance},
-    {"effect", given::kSetUp},
-    {"name", given::kName},
+    {"on_time", given::kFirstFrameTarget}, {"deadline", given::kTimeLimit}, {"worth", given::kImportance},
+    {"effect", given::kSetUpMode},         {"name", given::kName},
 };
 
 constexpr std::pair<Name, std::optional<double> LoadReport::*> kLoadNames[] = {
     {{"active", given::kStreams}, &LoadReport::streams},
     {{"cpu", given::kLinkShare}, &LoadReport::link_share},
-    {{"x0", given::kLink}, &LoadReport::link},
-    {{"x1", given::kUplink}, &LoadReport::uplink}};
+    {{"x0", given::kLink}, &LoadReport::link_demand},
+    {{"x1", given::kUplink}, &LoadReport::uplink_demand}};
 
 std::string plain_name(std::span<const Name> names, std::string_view wire) {
   for (const Name &name : names) {
@@ -87,8 +84,8 @@
 
 } // namespace
 
-Given translate(std::span<const Field> fields) {
-  Given out;
+DecisionSettings translate_settings(std::span<const SettingField> fields) {
+  DecisionSettings out;
   for (const auto &[name, value] : fields) {
     std::string_view rest = name;
     std::string plain;
@@ -103,7 +100,7 @@
     }
     if (name == "report.names") {
       std::string words;
-      each_part(value, ',', [&](std::string_view word) {
+      for_each_part(value, ',', [&](std::string_view word) {
         if (!words.empty()) words += ',';
         auto known = std::ranges::find(kLoadNames, word, [](const auto &one) { return one.first.wire; });
         words += known == std::end(kLoadNames) ? word : known->first.plain;
@@ -116,12 +113,12 @@
   return out;
 }
 
-std::string_view read_load(std::string_view text, char mark, LoadReport &report) {
+std::string_view parse_load_report(std::string_view text, char mark, LoadReport &report) {
   std::string_view bad;
-  each_part(text, mark, [&](std::string_view pair) {
+  for_each_part(text, mark, [&](std::string_view pair) {
     std::size_t colon = pair.find(':');
     std::string_view value = colon == std::string_view::npos ? "" : pair.substr(colon + 1);
-    auto number = number_of(value);
+    auto number = parse_number(value);
     if (colon == std::string_view::npos || (!value.empty() && !number)) {
       if (bad.empty()) bad = pair.empty() ? std::string_view("an empty part") : pair;
       return;
--- a/src/given/translate.h
+++ b/src/given/translate.h
@@ -1,5 +1,6 @@
-// The platform's and the simulator's names for what the module is given, and for the parts of a load report,
-// turned into the module's own. Written once, for the adapter and the platform's doors alike.
+// Translates the names that the platform and the simulator use for the decision engine's settings, and for
+// the fields of a load report, into the engine's own names (decision/names.h). The simulator's adapter and
+// the platform's gateways share it.
 #pragma once
 #include "decision/policy.h"
 
@@ -13,12 +14,14 @@
 
 namespace snowshore::given {
 
-using Field = std::pair<std::string_view, std::string_view>; // a dotted name and its value; lists by commas
+// A dotted name and its value; the items of a list are separated by commas.
+using SettingField = std::pair<std::string_view, std::string_view>;
 
-Given translate(std::span<const Field> fields);
+// Returns the engine's settings; fields with other names are left out.
+DecisionSettings translate_settings(std::span<const SettingField> fields);
 
-// Calls f with each part of a list that a mark sets apart.
-template <class F> void each_part(std::string_view list, char mark, F f) {
+// Calls f with each part of a list whose parts are separated by `mark`.
+template <class F> void for_each_part(std::string_view list, char mark, F f) {
   while (!list.empty()) {
     std::size_t at = list.find(mark);
     f(list.substr(0, at));
@@ -27,16 +30,16 @@
   }
 }
 
-// The whole text as one finite number, or nothing.
-inline std::optional<double> number_of(std::string_view text) {
+// Returns the whole text as one finite number, or nothing where it is not one.
+inline std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-// name:value pairs that a mark sets apart; names that the module does not know are passed over. Returns the
-// first part that is no such pair (empty: all are).
-std::string_view read_load(std::string_view text, char mark, LoadReport &report);
+// Reads name:value pairs that are separated by `mark` into the report, and skips unknown names. Returns the
+// first part that is not such a pair; an empty result means that all parts were read.
+std::string_view parse_load_report(std::string_view text, char mark, LoadReport &report);
 
 } // namespace snowshore::given
--- a/src/hints/hints.cpp
+++ b/src/hints/hints.cpp
@@ -107,9 +107,9 @@
     } else if (key == kShare) {
       right = put_number(item, load.link_share);
     } else if (key == kLink) {
-      right = put_number(item, load.link);
+      right = put_number(item, load.link_demand);
     } else if (key == kUplink) {
-      right = put_number(item, load.uplink);
+      right = put_number(item, load.uplink_demand);
     } else if (key == "du") {
       right = put_flag(item, load.duress);
     }
@@ -126,8 +126,8 @@
   if (load.duress) out += ";du";
   put(kStreams, load.streams);
   put(kShare, load.link_share);
-  put(kLink, load.link);
-  put(kUplink, load.uplink);
+  put(kLink, load.link_demand);
+  put(kUplink, load.uplink_demand);
   return out;
 }
 
--- a/src/jsonlines/message.cpp
+++ b/src/jsonlines/message.cpp
@@ -14,7 +14,7 @@
 std::string quoted(std::string_view text) { return Json(text).dump(); }
 
 std::string head(const char *verb, std::uint64_t tag) {
-  return std::string(R"({"verb":")") + verb + R"(","tag":")" + write_hex16(tag) + R"(","opts":{)";
+  return std::string(R"({"verb":")") + verb + R"(","tag":")" + format_hex16(tag) + R"(","opts":{)";
 }
 
 } // namespace
@@ -35,7 +35,7 @@
   Message out;
   auto tag = json.find("tag");
   if (tag == json.end() || !tag->is_string()) return bad("tag: 16 hex digits are due");
-  auto id = read_hex16(tag->get_ref<const std::string &>());
+  auto id = parse_hex16(tag->get_ref<const std::string &>());
   if (!id) return bad("tag: 16 hex digits are due");
   out.tag = *id, fault.tag = *id;
   auto verb = json.find("verb");
--- a/src/jsonlines/message.h
+++ b/src/jsonlines/message.h
@@ -14,8 +14,8 @@
 
 inline constexpr std::size_t kMaxLine = 16 * 1024; // the protocol's bound on a message
 
-using given::read_hex16;
-using given::write_hex16;
+using given::format_hex16;
+using given::parse_hex16;
 
 struct Message {
   std::string verb;
--- a/src/jsonlines/server.cpp
+++ b/src/jsonlines/server.cpp
@@ -6,7 +6,7 @@
 
 namespace snowshore::jsonlines {
 
-using telemetry::steady_now;
+using telemetry::steady_seconds;
 
 namespace {
 
@@ -152,7 +152,7 @@
   socket.non_blocking(true, ignored);
   auto one = std::make_shared<Connection>(std::move(socket));
   one->id = next_++;
-  one->waits_since = one->heard_at = steady_now();
+  one->waits_since = one->heard_at = steady_seconds();
   all_[one->id] = one;
   read(one);
 }
@@ -163,7 +163,7 @@
 bool Server::make_room() {
   Connection *least = nullptr;
   bool newcomers = false; // that may go in a moment
-  double now = steady_now();
+  double now = steady_seconds();
   for (auto &[id, one] : all_) {
     bool unsent = !one->unsent.empty() || !one->sending.empty();
     newcomers = newcomers || one->state == State::silent;
@@ -199,7 +199,7 @@
     // line may lie in the reader, not in bytes: what is used is counted from the bytes' line ends
     used = bytes.find('\n', used) + 1;
     ++counters_.lines;
-    one->heard_at = steady_now();
+    one->heard_at = steady_seconds();
     if (one->state == State::silent) become(*one, State::talking);
     one->waits_since = -1;
     events_.line(one->id, line);
@@ -220,7 +220,7 @@
     });
     return;
   }
-  if (one->waits_since < 0 && one->lines.partial()) one->waits_since = steady_now();
+  if (one->waits_since < 0 && one->lines.partial()) one->waits_since = steady_seconds();
   read(one);
 }
 
@@ -304,7 +304,7 @@
   if (it == all_.end() || it->second->state == State::closed) return;
   auto one = it->second;
   become(*one, State::closing);
-  one->waits_since = steady_now();
+  one->waits_since = steady_seconds();
   if (one->sending.empty()) cut_soon(id);
 }
 
@@ -336,7 +336,7 @@
   look_timer_.expires_after(kLookEvery);
   look_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
-    double due = steady_now() - limits_.first_line;
+    double due = steady_seconds() - limits_.first_line;
     std::vector<Id> silent;
     for (auto &[id, one] : all_) {
       if (one->waits_since >= 0 && one->waits_since < due && one->held == 0 && !unread(*one))
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -194,7 +194,7 @@
   }
   day.site = r.at("site");
   records::Source front[] = {{"(the day's front)", front_record(day, 0, "(folder)")}};
-  day.terms = site::read_front(front);
+  day.terms = site::parse_front_config(front);
   day.product_shares.resize(day.terms.products.size(), 0);
   return day;
 }
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -54,7 +54,7 @@
   std::vector<double> product_shares;
   std::vector<Fault> faults;
   records::Record site;    // for the fronts' records
-  site::FrontRecord terms; // the same, read
+  site::FrontConfig terms; // the same, read
 };
 
 // Throws records::RecordError. Counts of 0 keep the record's.
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -31,7 +31,7 @@
 
 namespace snowshore::lab {
 
-using telemetry::span;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -82,7 +82,7 @@
   void on(int s, const http::Request &request, const std::shared_ptr<http::Exchange> &exchange) {
     http::Response response;
     hints::CmsdLoad load;
-    load.link = load.uplink = 0.01;
+    load.link_demand = load.uplink_demand = 0.01;
     response.headers.add("CMSD-Dynamic", hints::write_cmsd("s" + std::to_string(s), load));
     auto play = serverwire::play_of(request.path);
     if (request.method == "POST" && play) {
@@ -253,7 +253,7 @@
   http::Client client(io, limits);
   auto run_for = [&](double seconds) {
     io.restart();
-    io.run_for(span(seconds));
+    io.run_for(to_timer_duration(seconds));
   };
   nlohmann::json ports;
   for (auto from = Clock::now(); !ports.is_object(); run_for(0.02)) {
@@ -295,7 +295,7 @@
     std::function<void()> arrive = [&] {
       while (asking && next <= Clock::now()) {
         auto due = next;
-        next += span(gap(chance));
+        next += to_timer_duration(gap(chance));
         http::Request request;
         request.target = "/play/t" + std::to_string(title(chance)) + "?CMCD=sid%3D%22v" +
                          std::to_string(out.asked) + "%22";
--- a/src/lab/manage.cpp
+++ b/src/lab/manage.cpp
@@ -330,7 +330,7 @@
 
 double recovery_time(const std::string &folder, int revisions, const std::string &text) {
   records::Source file{"front.cue", text};
-  site::FrontRecord record = site::read_front({&file, 1});
+  site::FrontConfig record = site::parse_front_config({&file, 1});
   model::Model model;
   auto kept = static_cast<std::size_t>(std::max(10, revisions));
   std::string document = model.document_of(record.record);
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -8,7 +8,7 @@
 
 namespace snowshore::lab {
 
-using telemetry::span;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -48,7 +48,7 @@
 
 void Players::arrive() {
   double rate = day_.plays_a_second + crowd_rate_;
-  arrival_.expires_after(span(boost::random::exponential_distribution<>(rate)(chance_)));
+  arrival_.expires_after(to_timer_duration(boost::random::exponential_distribution<>(rate)(chance_)));
   arrival_.async_wait([this](asio::error_code error) {
     if (error || !asking_) return;
     auto viewer = std::make_shared<Viewer>();
@@ -68,7 +68,7 @@
   std::string name = "f" + std::to_string(front);
   auto to = where_(front);
   if (!to || !asking_) return;
-  const site::ProductTerms &product = day_.terms.products[static_cast<std::size_t>(viewer->product)];
+  const site::ProductSettings &product = day_.terms.products[static_cast<std::size_t>(viewer->product)];
   std::uint64_t number = next_ask_++;
   hints::Cmcd hints;
   hints.session = "viewer-" + std::to_string(viewer->number);
@@ -94,7 +94,7 @@
                      {"limit", product.time_limit},
                      {"try", viewer->tries}});
   auto open = std::make_shared<bool>(true);
-  double asked_for = clock_.exact();
+  double asked_for = clock_.read_now();
   auto id = to_fronts_[static_cast<std::size_t>(front)]->send(
       *to, request, product.time_limit + kOverLimit,
       [this, viewer, number, name, open, asked_for](const http::Result &result) {
@@ -162,7 +162,7 @@
       [this, ask, there, asked_for](const http::Response &head) {
         *there = head.status == 200;
         trace_.put("media",
-                   {{"ask", ask}, {"status", head.status}, {"first_frame", clock_.exact() - asked_for}});
+                   {{"ask", ask}, {"status", head.status}, {"first_frame", clock_.read_now() - asked_for}});
       },
       [viewer](std::string_view data) { viewer->moved = data.find("end moved") != std::string_view::npos; },
       [this, viewer, ask, open](const http::Result &result) {
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -42,7 +42,7 @@
       });
   address_ = server_->local();
   up_ = true, draining_ = fallen_ = false;
-  started_ = cold ? clock_.exact() : clock_.exact() - 1000;
+  started_ = cold ? clock_.read_now() : clock_.read_now() - 1000;
   cold_from_ = started_;
   arrivals_.clear();
   trace_.put("start", {{"server", id_}, {"cold", cold}, {"started", started_}});
@@ -86,7 +86,7 @@
 http::Response StandInServer::load_answer(int status) const {
   hints::CmsdLoad load;
   load.streams = static_cast<double>(plays_.size());
-  load.link = told_link_, load.uplink = told_uplink_;
+  load.link_demand = told_link_, load.uplink_demand = told_uplink_;
   load.duress = told_link_ > 1;
   http::Response response;
   response.status = status;
@@ -136,12 +136,12 @@
 
 double StandInServer::pace() const {
   double warm_up = day_.site.seconds("warm_up"), least = day_.site.number("cold_share");
-  double warmed = std::clamp((clock_.exact() - cold_from_) / warm_up, 0.0, 1.0);
+  double warmed = std::clamp((clock_.read_now() - cold_from_) / warm_up, 0.0, 1.0);
   return day_.places / warm_up * (least + (1 - least) * warmed);
 }
 
 bool StandInServer::falls_over() {
-  double now = clock_.exact(), window = day_.site.seconds("fall_span");
+  double now = clock_.read_now(), window = day_.site.seconds("fall_span");
   arrivals_.push_back(now);
   while (!arrivals_.empty() && arrivals_.front() <= now - window) arrivals_.pop_front();
   if (now - cold_from_ > day_.site.seconds("warm_up")) return false;
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -18,7 +18,7 @@
     if (!out_) throw std::runtime_error("cannot write " + file);
   }
   void put(const char *is, Json line) {
-    line["t"] = clock_.exact();
+    line["t"] = clock_.read_now();
     line["is"] = is;
     out_ << line.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
   }
--- a/src/management/access.cpp
+++ b/src/management/access.cpp
@@ -59,14 +59,14 @@
   return client;
 }
 
-bool may(const Client &client, Right right, const site::ManagementTerms &terms) {
+bool may(const Client &client, Right right, const site::ManagementSettings &terms) {
   if (client.plaintext) return true;
   auto listed = [&](const std::vector<std::string> &allowed) {
     return std::ranges::any_of(client.names, [&](const std::string &name) {
       return std::ranges::find(allowed, name) != allowed.end();
     });
   };
-  return listed(terms.setters) || (right == Right::read && listed(terms.readers));
+  return listed(terms.writers) || (right == Right::read && listed(terms.readers));
 }
 
 } // namespace snowshore::management
--- a/src/management/access.h
+++ b/src/management/access.h
@@ -20,7 +20,7 @@
 
 Client client_of(const grpc::ServerContextBase &context, bool plaintext);
 // Whether it may; a plaintext client on loopback may all.
-bool may(const Client &client, Right right, const site::ManagementTerms &terms);
+bool may(const Client &client, Right right, const site::ManagementSettings &terms);
 
 // A certificate's or key's text; throws std::runtime_error naming a file that holds none.
 std::string certificate_text(const std::string &file);
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -11,11 +11,11 @@
 
 double whole_seconds(double age) { return std::floor(age); } // ages change always; a second is news enough
 
-const char *name_of(Standing standing) {
-  return standing == Standing::active ? "active" : standing == Standing::leaving ? "leaving" : "left";
+const char *name_of(ServerStatus standing) {
+  return standing == ServerStatus::active ? "active" : standing == ServerStatus::leaving ? "leaving" : "left";
 }
 
-Json json_of(const site::FrontState &state) {
+Json json_of(const site::FrontSnapshot &state) {
   Json out;
   out["build"] = {{"boot", state.boot}, {"uptime", decimal(whole_seconds(state.uptime))}};
   out["service"] = state.service;
@@ -28,17 +28,17 @@
     out["answers"].push_back({{"outcome", name}, {"count", std::to_string(count)}});
   for (const auto &server : state.servers) {
     Json one{{"id", server.id},
-             {"standing", name_of(server.standing)},
+             {"standing", name_of(server.status)},
              {"plays", server.view.plays},
-             {"strikes", server.view.strikes},
+             {"strikes", server.view.consecutive_failures},
              {"avoided", server.view.avoided},
              {"may_be_cold", server.view.may_be_cold}};
     if (server.view.link_age >= 0) {
-      one["link_use"] = decimal(server.view.link_use);
+      one["link_use"] = decimal(server.view.link_demand);
       one["link_age"] = decimal(whole_seconds(server.view.link_age));
     }
     if (server.view.uplink_age >= 0) {
-      one["uplink_use"] = decimal(server.view.uplink_use);
+      one["uplink_use"] = decimal(server.view.uplink_demand);
       one["uplink_age"] = decimal(whole_seconds(server.view.uplink_age));
     }
     out["servers"].push_back(std::move(one));
@@ -51,12 +51,12 @@
 Manager::Manager(const model::Model &model, store::Store &store, std::size_t history, std::string version)
     : model_(model), store_(store), version_(std::move(version)), transactions_(store, *this, history) {}
 
-double Manager::now() const { return clock_.exact() + ahead_; }
+double Manager::now() const { return clock_.read_now() + ahead_; }
 
 const Manager::Checked &Manager::checked(const std::string &document) {
   if (checked_ && checked_->document == document) return *checked_;
   records::Source file{"(configuration)", model_.record_of(document)};
-  Checked out{document, site::read_front({&file, 1}), false, {}};
+  Checked out{document, site::parse_front_config({&file, 1}), false, {}};
   if (!running_.empty()) {
     for (const model::Changed &one : model_.changes(running_, document)) {
       out.drained = out.drained || one.when == model::TakesEffect::drained;
@@ -96,11 +96,11 @@
 
 // ---- Before the front runs.
 
-site::FrontRecord Manager::start(const site::FrontRecord &from_files) {
+site::FrontConfig Manager::start(const site::FrontConfig &from_files) {
   std::lock_guard lock(sets_);
   std::string first = model_.document_of(from_files.record);
   auto revisions = store_.read();
-  if (!revisions.empty()) ahead_ = std::max(0.0, revisions.back().at - clock_.exact()); // it was set back
+  if (!revisions.empty()) ahead_ = std::max(0.0, revisions.back().at - clock_.read_now()); // it was set back
   Answer answer = transactions_.recover(first, now());
   if (answer.refusal != Refusal::none) throw std::runtime_error("the configuration in force: " + answer.why);
   std::string before = store_.text("files");
@@ -131,7 +131,7 @@
 // ---- Sets.
 
 template <class F> Answer Manager::one_at_a_time(F call) {
-  std::size_t room = in_force()->terms.sets_waiting;
+  std::size_t room = in_force()->terms.max_pending_sets;
   struct Waiting {
     std::atomic<int> &count;
     explicit Waiting(std::atomic<int> &c) : count(c) { ++count; }
@@ -193,7 +193,7 @@
   return one_at_a_time([&] { return transactions_.roll_back(revision, user, now()); });
 }
 
-Answer Manager::take_files(const site::FrontRecord &from_files, const std::string &user) {
+Answer Manager::take_files(const site::FrontConfig &from_files, const std::string &user) {
   return one_at_a_time([&] {
     std::string next = model_.document_of(from_files.record);
     Answer answer{Refusal::none, "", transactions_.running().number};
@@ -275,7 +275,7 @@
 std::string Manager::state_json() {
   std::lock_guard lock(state_mutex_);
   auto running = in_force();
-  if (now() - state_at_ < running->terms.snapshot_every && !state_.empty()) return state_;
+  if (now() - state_at_ < running->terms.snapshot_interval && !state_.empty()) return state_;
   FrontPort *front = front_;
   if (!front) throw Ending();
   Json state = json_of(front->state());
--- a/src/management/manager.h
+++ b/src/management/manager.h
@@ -24,15 +24,15 @@
 class FrontPort { // the running front; calls are carried out on its executor, and wait. May throw Ending.
  public:
   virtual ~FrontPort() = default;
-  virtual std::optional<std::string> refusal_of(const site::FrontRecord &next, bool drained) = 0;
-  virtual std::optional<std::string> change(const site::FrontRecord &next, bool drained) = 0;
-  virtual site::FrontState state() = 0;
+  virtual std::optional<std::string> refusal_of(const site::FrontConfig &next, bool drained) = 0;
+  virtual std::optional<std::string> change(const site::FrontConfig &next, bool drained) = 0;
+  virtual site::FrontSnapshot state() = 0;
 };
 
 struct InForce { // a copy for readers, never changed
   std::uint64_t revision = 0;
   std::string document;
-  site::ManagementTerms terms;
+  site::ManagementSettings terms;
   double confirm_by = 0; // 0: confirmed
   std::string commit_id; // of one that awaits its confirmation
 };
@@ -44,7 +44,7 @@
   // Before the front runs: reads the history back and returns the record that is in force. from_files becomes
   // a revision when the files say something else than when they were last read. Throws StoreError, Fault,
   // RecordError, and std::runtime_error for a history whose last revision cannot run.
-  site::FrontRecord start(const site::FrontRecord &from_files);
+  site::FrontConfig start(const site::FrontConfig &from_files);
   // From now on sets reach it; nullptr: it has ended. The port must outlive the manager's calls.
   void attach(FrontPort *front);
 
@@ -60,7 +60,7 @@
   Answer cancel(std::uint64_t revision, const std::string &user);
   Answer roll_back(std::uint64_t revision, const std::string &user);
   // The record's files as they are now, whole, in place of what is in force.
-  Answer take_files(const site::FrontRecord &from_files, const std::string &user);
+  Answer take_files(const site::FrontConfig &from_files, const std::string &user);
   std::optional<double> tick(); // undoes what is due; seconds until the next undoing
 
   std::shared_ptr<const InForce> in_force() const;
@@ -84,7 +84,7 @@
   std::optional<std::string> apply(const std::string &document) override;
   struct Checked { // a document that was read, so that one set reads it once
     std::string document;
-    site::FrontRecord record;
+    site::FrontConfig record;
     bool drained = false;             // against what the front has
     std::optional<std::string> fixed; // a path that only a new start can change
   };
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -111,7 +111,7 @@
   bool has_state_ = false;
 };
 
-std::shared_ptr<grpc::ServerCredentials> credentials(const site::ManagementTerms &terms) {
+std::shared_ptr<grpc::ServerCredentials> credentials(const site::ManagementSettings &terms) {
   if (terms.plaintext) return grpc::InsecureServerCredentials();
   for (const std::string *name : {&terms.certificate, &terms.key, &terms.client_authority})
     certificate_text(*name);
@@ -129,7 +129,7 @@
 
 class Service::Gnmi final : public gnmi::gNMI::Service {
  public:
-  Gnmi(Manager &manager, const site::ManagementTerms &terms)
+  Gnmi(Manager &manager, const site::ManagementSettings &terms)
       : manager_(manager), plaintext_(terms.plaintext) {
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota;
@@ -275,9 +275,10 @@
     Client client;
     if (Status refused = allow(*context, Right::read, &client); !refused.ok()) return refused;
     Active active(*this, *context, client);
-    if (manager_.streams() > manager_.in_force()->terms.streams)
-      return {StatusCode::RESOURCE_EXHAUSTED,
-              "no more streams than " + std::to_string(manager_.in_force()->terms.streams) + " at a time"};
+    if (manager_.streams() > manager_.in_force()->terms.max_streams)
+      return {StatusCode::RESOURCE_EXHAUSTED, "no more streams than " +
+                                                  std::to_string(manager_.in_force()->terms.max_streams) +
+                                                  " at a time"};
     gnmi::SubscribeRequest request;
     if (!stream->Read(&request) || !request.has_subscribe())
       return {StatusCode::INVALID_ARGUMENT, "a subscription is due first"};
@@ -354,7 +355,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       manager_.tick();
       auto running = manager_.in_force();
-      double behind = running->terms.behind_time;
+      double behind = running->terms.max_lag;
       std::lock_guard lock(active_mutex_);
       for (Active *one : active_) {
         if (one->cut.load() != Active::Cut::none) continue;
@@ -522,7 +523,7 @@
   std::jthread keeper_;
 };
 
-Service::Service(Manager &manager, const site::ManagementTerms &terms)
+Service::Service(Manager &manager, const site::ManagementSettings &terms)
     : gnmi_(std::make_unique<Gnmi>(manager, terms)) {}
 Service::~Service() = default;
 int Service::port() const { return gnmi_->port(); }
--- a/src/management/service.h
+++ b/src/management/service.h
@@ -10,7 +10,7 @@
 class Service {
  public:
   // Listens at once; throws std::runtime_error when it cannot, or when a certificate cannot be read.
-  Service(Manager &manager, const site::ManagementTerms &terms);
+  Service(Manager &manager, const site::ManagementSettings &terms);
   ~Service(); // ends all calls under way
   int port() const;
 
--- a/src/platform/boot.cpp
+++ b/src/platform/boot.cpp
@@ -16,7 +16,9 @@
 
 using Json = nlohmann::json;
 
-BootError bad(const std::string &path, const std::string &why) { return BootError(path + ": " + why); }
+NodeConfigError bad(const std::string &path, const std::string &why) {
+  return NodeConfigError(path + ": " + why);
+}
 
 const Json &at(const Json &in, const std::string &path, const char *name) {
   auto it = in.find(name);
@@ -77,11 +79,11 @@
   out.emplace_back(path, joined);
 }
 
-std::vector<std::string> words(const Given &given, const char *name) {
+std::vector<std::string> words(const DecisionSettings &given, const char *name) {
   std::vector<std::string> out;
   auto it = given.find(name);
   if (it != given.end())
-    given::each_part(it->second, ',', [&](std::string_view word) { out.emplace_back(word); });
+    given::for_each_part(it->second, ',', [&](std::string_view word) { out.emplace_back(word); });
   return out;
 }
 
@@ -98,19 +100,19 @@
   return out;
 }
 
-double value(const Given &given, const std::string &name) {
+double value(const DecisionSettings &given, const std::string &name) {
   auto it = given.find(name);
-  auto found = it == given.end() ? std::nullopt : given::number_of(it->second);
+  auto found = it == given.end() ? std::nullopt : given::parse_number(it->second);
   if (!found) throw bad("settings", "no number for " + name);
   return *found;
 }
 
-double value_or(const Given &given, const std::string &name, double fallback) {
+double value_or(const DecisionSettings &given, const std::string &name, double fallback) {
   auto it = given.find(name);
-  return it == given.end() ? fallback : given::number_of(it->second).value_or(fallback);
+  return it == given.end() ? fallback : given::parse_number(it->second).value_or(fallback);
 }
 
-void check_length(const Given &given, const char *name, std::size_t due) {
+void check_length(const DecisionSettings &given, const char *name, std::size_t due) {
   if (std::size_t held = words(given, name).size(); held != due)
     throw bad("settings", std::string(name) + " holds " + std::to_string(held) + " values, " +
                               std::to_string(due) + " are due");
@@ -120,24 +122,24 @@
 
 // A part for the program itself (standard streams, event loop, listener, channel old and new), two fifths for
 // servers, the rest for viewers, who by the protocol hold a third at most; bytes are parts of the memory.
-Shares share_out(std::size_t sockets, std::size_t memory_mb) {
-  Shares out;
-  out.own = std::min<std::size_t>(24, sockets / 4);
-  std::size_t rest = sockets - out.own;
-  out.servers = rest * 2 / 5;
-  out.viewers = rest - out.servers;
+ResourceLimits compute_resource_limits(std::size_t sockets, std::size_t memory_mb) {
+  ResourceLimits out;
+  out.own_descriptors = std::min<std::size_t>(24, sockets / 4);
+  std::size_t rest = sockets - out.own_descriptors;
+  out.server_descriptors = rest * 2 / 5;
+  out.viewer_descriptors = rest - out.server_descriptors;
   std::size_t memory = memory_mb * 1024 * 1024;
-  out.held_bytes = memory / 8;
-  out.unsent_viewer = std::max<std::size_t>(32 * 1024, memory / 8 / out.viewers);
-  out.unsent_server = std::max<std::size_t>(64 * 1024, memory / 256);
+  out.max_description_bytes = memory / 8;
+  out.max_unsent_viewer_bytes = std::max<std::size_t>(32 * 1024, memory / 8 / out.viewer_descriptors);
+  out.max_unsent_server_bytes = std::max<std::size_t>(64 * 1024, memory / 256);
   return out;
 }
 
-Boot read_boot(const std::string &source) {
+NodeConfig parse_node_config(const std::string &source) {
   Json json = Json::parse(source, nullptr, false);
   if (json.is_discarded()) throw bad("the file", "no JSON");
   if (!json.is_object()) throw bad("the file", "an object is due");
-  Boot out;
+  NodeConfig out;
   out.name = text(json, "", "name");
   out.listen = endpoint(text(json, "", "listen"), "listen");
   out.channel = endpoint(text(json, "", "channel"), "channel");
@@ -150,15 +152,15 @@
   out.cores = number(limits, "limits.", "cores", 0.001, 1024);
   out.memory_mb = static_cast<std::size_t>(number(limits, "limits.", "memory_mb", 8, 1e6));
   out.sockets = static_cast<std::size_t>(number(limits, "limits.", "sockets", 32, 1e7));
-  out.shares = share_out(out.sockets, out.memory_mb);
+  out.resource_limits = compute_resource_limits(out.sockets, out.memory_mb);
 
   const Json &settings = at(json, "", "settings");
   if (!settings.is_object()) throw bad("settings", "an object is due");
   std::vector<std::pair<std::string, std::string>> flat;
   flatten(settings, "", flat);
-  std::vector<given::Field> fields(flat.begin(), flat.end());
-  out.core.given = given::translate(fields);
-  const Given &given = out.core.given;
+  std::vector<given::SettingField> fields(flat.begin(), flat.end());
+  out.core.decision_settings = given::translate_settings(fields);
+  const DecisionSettings &given = out.core.decision_settings;
   out.core.seed = out.seed;
   out.core.halls = out.places.halls = names(settings, "areas");
   out.core.kinds = out.places.kinds = names(settings, "skus");
@@ -169,9 +171,9 @@
     std::string name = text(at(settings, "settings.", "classes").at(p), path, "name");
     if (std::ranges::any_of(name, [](char c) { return static_cast<unsigned char>(c) < ' ' || c == 127; }))
       throw bad(path + "name", "control characters can't be said to servers");
-    double limit = value(given, given::product_value(p, given::kTimeLimit));
+    double limit = value(given, given::product_setting_name(p, given::kTimeLimit));
     out.core.products.push_back({name, limit});
-    out.longest_limit = std::max(out.longest_limit, limit);
+    out.longest_time_limit = std::max(out.longest_time_limit, limit);
   }
   if (out.core.products.empty()) throw bad("settings", "no class is named");
   check_length(given, given::kProductFloors, products);
@@ -186,10 +188,11 @@
   out.may_advise_return =
       given.contains(given::kMayAdviseReturn) && given.at(given::kMayAdviseReturn) != "false";
   out.longest_retry_after = value_or(given, given::kLongestRetryAfter, 0);
-  out.connect_time = value_or(given, "limits.connect_timeout", 0.25);
-  out.idle_time = value_or(given, "limits.idle_close", 30);
-  out.streams = static_cast<std::size_t>(std::clamp(value_or(given, "limits.multiplex", 32), 1.0, 1e6));
-  out.note_interval = value_or(given, given::kLinkNoteInterval, 0);
+  out.connect_timeout = value_or(given, "limits.connect_timeout", 0.25);
+  out.idle_timeout = value_or(given, "limits.idle_close", 30);
+  out.set_ups_per_connection =
+      static_cast<std::size_t>(std::clamp(value_or(given, "limits.multiplex", 32), 1.0, 1e6));
+  out.feedback_interval = value_or(given, given::kLinkFeedbackInterval, 0);
 
   const Json &known = at(json, "", "known");
   const Json &events = at(known, "known.", "cmds");
@@ -197,43 +200,43 @@
   try {
     for (std::size_t i = 0; i < events.size(); ++i) {
       auto event = feed::read_known(events[i], "known.cmds[" + std::to_string(i) + "]");
-      if (out.known.number() == 0 && event.number > 1) out.known.start_from(event.number - 1);
-      out.known.take(event);
+      if (out.initial_list.number() == 0 && event.number > 1) out.initial_list.start_from(event.number - 1);
+      out.initial_list.take(event);
     }
   } catch (const std::invalid_argument &wrong) {
-    throw BootError(wrong.what());
+    throw NodeConfigError(wrong.what());
   }
   auto last = static_cast<std::uint64_t>(number(known, "known.", "cursor", 0, 1e18));
-  out.known.start_from(std::max(last, out.known.number()));
+  out.initial_list.start_from(std::max(last, out.initial_list.number()));
   return out;
 }
 
-std::optional<std::string> refusal_of(const Boot &now, const Boot &next) {
+std::optional<std::string> reload_refusal(const NodeConfig &now, const NodeConfig &next) {
   if (next.listen != now.listen) return "listen: needs a restart";
   bool same_names = std::ranges::equal(next.core.products, now.core.products, {}, &edge::CoreProduct::name,
                                        &edge::CoreProduct::name);
   if (!same_names || next.core.kinds != now.core.kinds || next.core.halls != now.core.halls ||
       next.cells != now.cells || next.rungs != now.rungs)
     return "settings: other classes, kinds, zones, cells or rungs, or another order of them, need a restart";
-  for (const char *name : {given::kRacks, given::kLoadFields, given::kFurtherSpan}) { // see decision/policy.h
-    auto value = [&](const Boot &boot) {
-      auto it = boot.core.given.find(name);
-      return it == boot.core.given.end() ? std::string() : it->second;
+  for (const char *name : {given::kRacks, given::kLoadFields, given::kRetryWindow}) { // see decision/policy.h
+    auto value = [&](const NodeConfig &boot) {
+      auto it = boot.core.decision_settings.find(name);
+      return it == boot.core.decision_settings.end() ? std::string() : it->second;
     };
     if (value(now) != value(next)) return "settings: another " + std::string(name) + " needs a restart";
   }
   return std::nullopt;
 }
 
-Boot load_boot(const std::string &file) {
+NodeConfig load_node_config(const std::string &file) {
   std::ifstream in(file, std::ios::binary);
-  if (!in) throw BootError(file + ": cannot be read");
+  if (!in) throw NodeConfigError(file + ": cannot be read");
   std::ostringstream all;
   all << in.rdbuf();
   try {
-    return read_boot(all.str());
-  } catch (const BootError &error) {
-    throw BootError(file + ": " + error.what());
+    return parse_node_config(all.str());
+  } catch (const NodeConfigError &error) {
+    throw NodeConfigError(file + ": " + error.what());
   }
 }
 
--- a/src/platform/boot.h
+++ b/src/platform/boot.h
@@ -1,5 +1,6 @@
-// What the platform tells a front at its start and at SIGHUP: the file NODE_CONFIG, checked whole, and the
-// limits derived from it. Every fault names the path in the file and the reason.
+// The configuration that the platform gives a front end at its start and at SIGHUP: the file NODE_CONFIG,
+// which is checked as a whole, and the limits derived from it. Each error message names the path in the file
+// and the reason.
 #pragma once
 #include "edge/core.h"
 #include "feed/frames.h"
@@ -9,39 +10,49 @@
 
 namespace snowshore::platform {
 
-struct BootError : std::runtime_error {
+struct NodeConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-struct Shares { // of descriptors and bytes; see docs/platform.md for where each comes from
-  std::size_t own = 0, viewers = 0, servers = 0; // descriptors
-  std::size_t held_bytes = 0;                    // of descriptions of plays without an answer
-  std::size_t unsent_viewer = 0, unsent_server = 0;
+// How file descriptors and memory are divided; docs/platform.md has the source of each number.
+struct ResourceLimits {
+  // Descriptors for the process itself, for connections of viewers and for connections to servers.
+  std::size_t own_descriptors = 0, viewer_descriptors = 0, server_descriptors = 0;
+  // Bytes of session descriptions of plays without an answer.
+  std::size_t max_description_bytes = 0;
+  // Bytes written and not yet sent, on one connection.
+  std::size_t max_unsent_viewer_bytes = 0, max_unsent_server_bytes = 0;
 };
 
-struct Boot {
+// The checked contents of the file. Durations are seconds.
+struct NodeConfig {
   std::string name;
   asio::ip::tcp::endpoint listen, channel;
   std::uint64_t seed = 0;
   std::size_t sockets = 0, memory_mb = 0;
   double cores = 1;
-  feed::List known;
+  feed::List initial_list;
   feed::Places places;
-  edge::CoreTerms core;
+  edge::CoreSettings core;
   int rungs = 0, cells = 1;
   bool may_advise_return = true;
-  double longest_retry_after = 0; // seconds that viewers keep away at most
-  double connect_time = 0, idle_time = 0, note_interval = 0, longest_limit = 0; // seconds
-  std::size_t streams = 1; // set-ups open on one connection to a server
-  Shares shares;
+  // The longest time for which viewers stay away when they are told to retry later.
+  double longest_retry_after = 0;
+  double connect_timeout = 0, idle_timeout = 0, feedback_interval = 0, longest_time_limit = 0;
+  // Set-ups that may be pending on one connection to a server.
+  std::size_t set_ups_per_connection = 1;
+  ResourceLimits resource_limits;
 };
 
-Boot read_boot(const std::string &text); // throws BootError
-Boot load_boot(const std::string &file); // likewise
-// Why `next` can't take the place of what is in service, or nothing. It is refused where plays in hand, the
-// module or the listener would go on by other terms than those of the new file: another order or name of
-// classes too.
-std::optional<std::string> refusal_of(const Boot &now, const Boot &next);
-Shares share_out(std::size_t sockets, std::size_t memory_mb);
+// Parses the text of the file. Throws NodeConfigError.
+NodeConfig parse_node_config(const std::string &text);
+// Reads and parses the file. Throws NodeConfigError.
+NodeConfig load_node_config(const std::string &file);
+// Returns why `next` cannot replace the configuration in service, or nothing where it can. It cannot where
+// plays in progress, the decision engine or the listener would continue with values other than those of the
+// new file; another order or other names of classes are such a case.
+std::optional<std::string> reload_refusal(const NodeConfig &now, const NodeConfig &next);
+// Divides the descriptors and the memory that the platform grants.
+ResourceLimits compute_resource_limits(std::size_t sockets, std::size_t memory_mb);
 
 } // namespace snowshore::platform
--- a/src/platform/ends.cpp
+++ b/src/platform/ends.cpp
@@ -42,7 +42,7 @@
   if (at == std::string_view::npos) return std::nullopt;
   std::string_view digits = reason->substr(at + 6);
   digits = digits.substr(0, digits.find_first_not_of("0123456789"));
-  auto value = given::number_of(digits);
+  auto value = given::parse_number(digits);
   return value && *value < 1000 ? std::optional(static_cast<int>(*value)) : std::nullopt;
 }
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -9,7 +9,7 @@
 
 namespace snowshore::platform {
 
-using telemetry::span;
+using telemetry::to_timer_duration;
 
 namespace {
 
@@ -35,65 +35,65 @@
 
 } // namespace
 
-PlatformFront::PlatformFront(asio::io_context &io, Boot boot, telemetry::Log &log)
+PlatformFront::PlatformFront(asio::io_context &io, NodeConfig boot, telemetry::Log &log)
     : io_(io), boot_(std::move(boot)), log_(log), viewers_(io, boot_, log),
       servers_(io, boot_, log, viewers_),
-      channel_(
-          new feed::Client(io, boot_.channel, boot_.places, std::exchange(boot_.known, {}), boot_.seed, log)),
+      channel_(new feed::Client(io, boot_.channel, boot_.places, std::exchange(boot_.initial_list, {}),
+                                boot_.seed, log)),
       core_(io, boot_.core, log, std::unique_ptr<edge::ListSource>(channel_), viewers_, servers_),
       drain_timer_(io), report_timer_(io) {
-  viewers_.attach(core_);
-  servers_.attach(core_);
+  viewers_.set_core(core_);
+  servers_.set_core(core_);
   viewers_.listen();
   core_.start();
-  servers_.start();
+  servers_.start_liveness_checks();
   report();
 }
 
 PlatformFront::~PlatformFront() { viewers_.stop(); }
 
-std::optional<std::string> PlatformFront::change(Boot next) {
-  if (auto why = refusal_of(boot_, next)) return why;
-  bool given = next.core.given != boot_.core.given;
+std::optional<std::string> PlatformFront::change(NodeConfig next) {
+  if (auto why = reload_refusal(boot_, next)) return why;
+  bool given = next.core.decision_settings != boot_.core.decision_settings;
   // What stands from the start: the seed, and the list in hand, which the channel follows.
-  next.seed = boot_.seed, next.core.seed = boot_.core.seed, next.known = {};
+  next.seed = boot_.seed, next.core.seed = boot_.core.seed, next.initial_list = {};
   boot_ = std::move(next);
   viewers_.reload();
   servers_.reload();
   channel_->move_to(boot_.channel);
-  if (given) core_.change(boot_.core);
+  if (given) core_.apply_settings(boot_.core);
   return std::nullopt;
 }
 
 void PlatformFront::drain(std::function<void()> done) {
   drained_ = std::move(done);
-  drain_began_ = telemetry::steady_now();
-  budget_ = drain_budget(boot_.longest_limit);
+  drain_began_ = telemetry::steady_seconds();
+  budget_ = drain_budget(boot_.longest_time_limit);
   viewers_.drain();
   servers_.drain();
-  core_.close_by(core_.clock().exact() + budget_.answers_until);
-  drain_timer_.expires_after(span(budget_.takes_until));
+  core_.shut_down_by(core_.clock().read_now() + budget_.answer_until);
+  drain_timer_.expires_after(to_timer_duration(budget_.accept_until));
   drain_timer_.async_wait([this](asio::error_code error) {
     if (error) return;
-    viewers_.shut();
-    look_drained(drain_began_ + budget_.waits_until);
+    viewers_.stop_accepting();
+    look_drained(drain_began_ + budget_.flush_until);
   });
 }
 
 // Until nothing is owed to anybody; at most for as long as the budget allows.
 void PlatformFront::look_drained(double until) {
-  drain_timer_.expires_after(span(kLookEvery));
+  drain_timer_.expires_after(to_timer_duration(kLookEvery));
   drain_timer_.async_wait([this, until](asio::error_code error) {
     if (error) return;
-    bool owed =
-        core_.in_hand() > 0 || !viewers_.is_quiet() || viewers_.owes_ends() || servers_.owes_releases();
-    double now = telemetry::steady_now();
+    bool owed = core_.unanswered_plays() > 0 || !viewers_.is_idle() || viewers_.has_unsent_ends() ||
+                servers_.has_unsent_releases();
+    double now = telemetry::steady_seconds();
     if (owed && now < until) return look_drained(until);
     if (!core_.send_guard().may_exit(owed, now, until)) return look_drained(until);
     if (owed)
-      log_.warning("drain_cut", {{"in_hand", core_.in_hand()},
-                                 {"unsent", viewers_.unsent()},
-                                 {"after", telemetry::steady_now() - drain_began_}});
+      log_.warning("drain_cut", {{"in_hand", core_.unanswered_plays()},
+                                 {"unsent", viewers_.unsent_bytes()},
+                                 {"after", telemetry::steady_seconds() - drain_began_}});
     finish();
   });
 }
@@ -102,50 +102,52 @@
 // repeat.
 void PlatformFront::finish() {
   viewers_.finish();
-  drain_timer_.expires_after(span(kCrossing));
+  drain_timer_.expires_after(to_timer_duration(kCrossing));
   drain_timer_.async_wait([this](asio::error_code error) {
     if (!error && drained_) std::exchange(drained_, nullptr)();
   });
 }
 
 PlatformFront::Work PlatformFront::work() {
-  DecisionWork decision = core_.decision_work();
+  ServerScanCounts decision = core_.server_scan_counts();
   Work out;
-  out.for_lists = core_.servers_listed() + decision.for_lists;
+  out.for_lists = core_.list_entries_scanned() + decision.for_lists;
   out.for_placements = decision.for_placements;
-  out.idle = decision.for_reviews + servers_.peer_counters().looks + servers_.counters().servers_walked;
+  out.idle = decision.for_reviews + servers_.peer_counters().looks + servers_.counters().servers_scanned;
   return out;
 }
 
 // What the front believes beside what its sockets carried, at an interval.
 void PlatformFront::report() {
-  report_timer_.expires_after(span(kReportEvery));
+  report_timer_.expires_after(to_timer_duration(kReportEvery));
   report_timer_.async_wait([this](asio::error_code error) {
     if (error) return;
-    servers_.report();
+    servers_.log_server_statistics();
     const auto &v = viewers_.counters();
     const auto &l = viewers_.line_counters();
     const auto &s = servers_.counters();
     const auto &p = servers_.peer_counters();
     const auto &c = channel_->counters();
     Work w = work();
-    edge::Core::Load load = core_.take_load();
+    edge::Core::CallDurations load = core_.take_call_durations();
     nlohmann::json answers, outcomes, downs;
-    for (const auto &[name, count] : core_.answers_so_far()) answers[name] = count;
+    for (const auto &[name, count] : core_.answer_counts()) answers[name] = count;
     for (std::size_t o = 0; o < s.outcomes.size(); ++o)
       outcomes[std::string(given::kOutcomeNames[o])] = s.outcomes[o];
-    for (std::size_t d = 0; d < s.downs.size(); ++d) downs[rtsp::kEndNames[d]] = s.downs[d];
+    for (std::size_t d = 0; d < s.disconnects.size(); ++d) downs[rtsp::kEndNames[d]] = s.disconnects[d];
     log_.info(
         "summary",
         {{"resident_kb", resident_kb()},
          {"cpu", cpu_seconds()},
          {"connections", {{"viewers", viewers_.connections()}, {"servers", servers_.connections()}}},
-         {"shares", {{"viewers", boot_.shares.viewers}, {"servers", boot_.shares.servers}}},
+         {"shares",
+          {{"viewers", boot_.resource_limits.viewer_descriptors},
+           {"servers", boot_.resource_limits.server_descriptors}}},
          {"load", {{"calls", load.calls}, {"long", load.long_calls}, {"longest", load.longest}}},
          {"servers_visited", {{"lists", w.for_lists}, {"placements", w.for_placements}, {"idle", w.idle}}},
          {"denied", core_.send_guard().denied()},
-         {"in_hand", core_.in_hand()},
-         {"unsent", viewers_.unsent()},
+         {"in_hand", core_.unanswered_plays()},
+         {"unsent", viewers_.unsent_bytes()},
          {"playing", core_.plays().count(edge::PlayState::playing)},
          {"answers", answers},
          {"outcomes", outcomes},
@@ -157,7 +159,7 @@
            {"released", v.released},
            {"refused_bad", v.refused_bad},
            {"unreadable", v.unreadable},
-           {"strangers", v.strangers},
+           {"strangers", v.unknown_plays},
            {"no_room", v.no_room},
            {"announced_later", v.announced_later},
            {"announced_again", v.announced_again},
@@ -172,9 +174,9 @@
            {"accept_pauses", l.accept_pauses},
            {"lines", l.lines}}},
          {"servers",
-          {{"listed", servers_.listed()},
+          {{"listed", servers_.listed_count()},
            {"with_sessions", core_.plays().servers_with_plays().size()},
-           {"spoken_to", servers_.with_peer()},
+           {"spoken_to", servers_.peer_count()},
            {"connects", p.connects},
            {"set_ups", p.set_ups},
            {"answers", p.answers},
@@ -185,13 +187,13 @@
            {"ended_done", s.ended_done},
            {"ended_reset", s.ended_reset},
            {"ended_left", s.ended_left},
-           {"notes", s.notes},
+           {"notes", s.feedback_messages},
            {"malformed", s.malformed},
            {"lost_silent", s.lost_silent},
            {"lost_restarted", s.lost_restarted},
            {"lost_gone", s.lost_gone},
-           {"early_ends", s.early_ends},
-           {"made_room", s.made_room},
+           {"early_ends", s.early_releases},
+           {"made_room", s.closed_for_budget},
            {"recalled_unsent", p.recalled_unsent},
            {"releases_again", p.releases_again},
            {"releases_dropped", p.releases_dropped}}},
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -14,11 +14,11 @@
 
 class PlatformFront {
  public:
-  PlatformFront(asio::io_context &io, Boot boot, telemetry::Log &log); // throws std::system_error
+  PlatformFront(asio::io_context &io, NodeConfig boot, telemetry::Log &log); // throws std::system_error
   ~PlatformFront();
   edge::Core &core() { return core_; }
-  Viewers &viewers() { return viewers_; }
-  Servers &servers() { return servers_; }
+  ViewerGateway &viewers() { return viewers_; }
+  RtspServerGateway &servers() { return servers_; }
 
   // Servers looked at so far, whatever for: cost that must not grow with the list.
   struct Work {
@@ -27,7 +27,7 @@
   Work work();
 
   // The file as it is now, in place of the last; why it can't be taken (then nothing has changed).
-  std::optional<std::string> change(Boot next);
+  std::optional<std::string> change(NodeConfig next);
   // The planned end: goes on serving while requests may still come, then answers what it has and is done.
   void drain(std::function<void()> done);
 
@@ -37,10 +37,10 @@
   void report();
 
   asio::io_context &io_;
-  Boot boot_;
+  NodeConfig boot_;
   telemetry::Log &log_;
-  Viewers viewers_;
-  Servers servers_;
+  ViewerGateway viewers_;
+  RtspServerGateway servers_;
   feed::Client *channel_;
   edge::Core core_;
   asio::steady_timer drain_timer_, report_timer_;
--- a/src/platform/liveness.h
+++ b/src/platform/liveness.h
@@ -1,46 +1,64 @@
-// Whether a server that holds plays of ours still lives, from what its connections show. No I/O and no clock:
-// facts come in with their time. A connection that breaks proves nothing; a process that is gone refuses new
-// ones; a machine that is gone or cut off lets none come up.
+// Judges from the events of its connections whether a server that holds plays of this front end is alive. No
+// I/O and no clock: each event comes with its time, in seconds. A broken connection proves nothing; a server
+// whose process is gone refuses new connections; a machine that is down or cut off lets none be established.
 #pragma once
 #include <cstdint>
 
 namespace snowshore::platform {
 
-struct LivenessTerms {    // seconds
-  double ask_after = 2.5; // heard nothing for so long: one more connection is asked for
-  double ask_every = 0.5;
-  double lost_after = 4; // nothing heard and none came up for so long: its plays are over; the protocol's 8 s
-                         // hold this, the wait for a connection, and a loop that is behind
-  double speaks_every = 0;     // a server with plays of ours says something so often (0: not known)
-  double silent_at_most = 6.5; // so that the 8 s hold
-  double late_by = 1.5;        // what it says comes so late at most
-  double intervals = 1.5;      // of speaks_every: silence for so many is no chance
-  double refused_apart = 0.15; // two refusals so far apart are no accident of one moment
+// Durations in seconds.
+struct LivenessSettings {
+  // After this time without received data, a further connection is requested, and again at this interval.
+  double probe_after = 2.5;
+  double probe_interval = 0.5;
+  // After this time without received data and without a new connection, the server's plays are over. The
+  // protocol's limit of 8 s covers this, the wait for a connection, and an event loop that lags.
+  double lost_after = 4;
+  // A server with plays of this front end sends a message at least this often; 0 where that is not known.
+  double message_interval = 0;
+  // The longest silence before the server is lost whatever the interval, so that the limit of 8 s is kept.
+  double max_silence = 6.5;
+  // The longest delay of a server's message.
+  double max_message_delay = 1.5;
+  // Silence for this many message intervals is not a coincidence.
+  double silent_intervals = 1.5;
+  // Two refusals this far apart are not a momentary fault.
+  double refusal_spacing = 0.15;
 };
 
 class Liveness {
  public:
-  enum class Verdict { well, ask, lost, restarted }; // restarted: what stood there before broke_at() is over
-  explicit Liveness(const LivenessTerms &terms) : terms_(&terms) {}
-  void heard(double now); // bytes came, or a connection came up
-  void refused(double now);
-  void not_up(double now); // a connection did not come up in its time
-  // It spoke of a session of ours that started at that moment; a set-up's answer counts too. A server that
-  // holds sessions of ours does so once in speaks_every.
-  void spoke(double now, double session_started);
-  void broke(double now); // its last connection ended: a restart, or the connection alone
-  void settle_break();    // the verdict was carried out, or can't be
-  double broke_at() const { return broke_at_; }
-  // connected: some connection to it is up. may_ask: its address is still its own; where not, silence alone
-  // tells, past the time in which it would have said something. An answer `ask` counts as asked.
-  Verdict judge(double now, bool connected, bool may_ask = true);
-  double quiet_for(double now) const { return now - heard_at_; }
+  // ask: one more connection is to be opened. lost: all plays on the server are over. restarted: those that
+  // were set up before connection_lost_at() are over.
+  enum class Verdict { alive, probe, lost, restarted };
+  explicit Liveness(const LivenessSettings &settings) : settings_(&settings) {}
+  // Data arrived, or a connection was established.
+  void data_received(double now);
+  void connection_refused(double now);
+  void connection_timed_out(double now);
+  // A message about a session of this front end arrived; the session started at session_started. The answer
+  // to a set-up counts too. A server that holds such sessions sends one at least every message_interval
+  // seconds.
+  void session_message_received(double now, double session_started);
+  // The last connection to the server ended, because of a restart or by itself.
+  void connection_lost(double now);
+  // The verdict on that loss was carried out, or cannot be.
+  void clear_connection_loss();
+  double connection_lost_at() const { return connection_lost_at_; }
+  // connected: at least one connection to the server is established. may_ask: the address still belongs to
+  // the server; where it does not, only silence beyond the time of its next message is evidence. A returned
+  // Verdict::probe counts as a connection that was requested.
+  Verdict evaluate(double now, bool connected, bool may_ask = true);
+  // Seconds since data was last received.
+  double silence(double now) const { return now - data_received_at_; }
 
  private:
-  double silence_that_tells() const; // seconds
-  const LivenessTerms *terms_;
-  double heard_at_ = -1e9, asked_at_ = -1e9, refused_since_ = -1;
-  double spoke_at_ = -1e9, broke_at_ = -1, silent_since_ = -1; // below 0: no break is open
+  // The silence, in seconds, after which a server that should send messages is lost.
+  double conclusive_silence() const;
+  const LivenessSettings *settings_;
+  double data_received_at_ = -1e9, probed_at_ = -1e9, refused_since_ = -1;
+  // Below 0 where no connection loss is undecided.
+  double session_message_at_ = -1e9, connection_lost_at_ = -1, silent_since_ = -1;
   int failed_ = 0;
   bool refused_again_ = false;
 };
