--- a/src/jsonlines/message.cpp
+++ b/src/jsonlines/message.cpp
@@ -1,3 +1,4 @@
+// Parsing and writing of messages of the viewers' line protocol.
 #include "jsonlines/message.h"
 
 #include <nlohmann/json.hpp>
@@ -10,10 +11,11 @@
 
 using Json = nlohmann::json;
 
-// Quotes, escapes and checks what goes into a line; what is no UTF-8 was refused when it was read.
-std::string quoted(std::string_view text) { return Json(text).dump(); }
+// Returns the text as a JSON string literal. The text is valid UTF-8, since the parser rejects anything else.
+std::string json_string(std::string_view text) { return Json(text).dump(); }
 
-std::string head(const char *verb, std::uint64_t tag) {
+// Returns the start of a message, up to and including the brace that opens its options.
+std::string message_prefix(const char *verb, std::uint64_t tag) {
   return std::string(R"({"verb":")") + verb + R"(","tag":")" + write_hex16(tag) + R"(","opts":{)";
 }
 
@@ -24,59 +26,59 @@
   return it == opts.end() ? nullptr : &it->second;
 }
 
-std::optional<Message> parse_message(std::string_view line, ParseError &fault) {
-  auto bad = [&](std::string why) {
-    fault.reason = std::move(why);
+std::optional<Message> parse_message(std::string_view line, ParseError &error) {
+  auto fail = [&](std::string reason) {
+    error.reason = std::move(reason);
     return std::nullopt;
   };
   Json json = Json::parse(line, nullptr, false);
-  if (json.is_discarded()) return bad("no JSON");
-  if (!json.is_object()) return bad("no object");
+  if (json.is_discarded()) return fail("not valid JSON");
+  if (!json.is_object()) return fail("not a JSON object");
   Message out;
   auto tag = json.find("tag");
-  if (tag == json.end() || !tag->is_string()) return bad("tag: 16 hex digits are due");
+  if (tag == json.end() || !tag->is_string()) return fail("tag must be 16 lowercase hex digits");
   auto id = read_hex16(tag->get_ref<const std::string &>());
-  if (!id) return bad("tag: 16 hex digits are due");
-  out.tag = *id, fault.tag = *id;
+  if (!id) return fail("tag must be 16 lowercase hex digits");
+  out.tag = *id, error.tag = *id;
   auto verb = json.find("verb");
-  if (verb == json.end() || !verb->is_string()) return bad("verb: a text is due");
+  if (verb == json.end() || !verb->is_string()) return fail("verb must be a string");
   out.verb = verb->get<std::string>();
   if (auto opts = json.find("opts"); opts != json.end()) {
-    if (!opts->is_object()) return bad("opts: an object is due");
+    if (!opts->is_object()) return fail("opts must be an object");
     for (const auto &[name, value] : opts->items()) {
       if (value.is_string())
         out.opts.emplace_back(name, value.get<std::string>());
       else if (value.is_number())
         out.opts.emplace_back(name, value.dump());
       else
-        return bad("opts." + name.substr(0, 40) + ": a text or a number is due");
+        return fail("opts." + name.substr(0, 40) + " must be a string or a number");
     }
   }
   if (auto cause = json.find("rc"); cause != json.end()) {
-    if (!cause->is_number()) return bad("rc: a number is due");
+    if (!cause->is_number()) return fail("rc must be a number");
     out.cause = cause->get<double>();
   }
   if (auto blob = json.find("blob"); blob != json.end()) {
-    if (!blob->is_string()) return bad("blob: a text is due");
+    if (!blob->is_string()) return fail("blob must be a string");
     out.description = blob->get<std::string>();
   }
   return out;
 }
 
 std::string write_started(std::uint64_t tag, std::string_view description) {
-  return head("STARTED", tag) + R"(},"blob":)" + quoted(description) + "}\n";
+  return message_prefix("STARTED", tag) + R"(},"blob":)" + json_string(description) + "}\n";
 }
 
 std::string write_finish(std::uint64_t tag, int cause, std::optional<std::uint64_t> wait_ms) {
-  std::string out = head("FINISH", tag);
+  std::string out = message_prefix("FINISH", tag);
   if (wait_ms) out += R"("wait":")" + std::to_string(*wait_ms) + '"';
   return out + R"(},"rc":)" + std::to_string(cause) + "}\n";
 }
 
-std::string write_finished(std::uint64_t tag) { return head("FINISHED", tag) + "}}\n"; }
+std::string write_finished(std::uint64_t tag) { return message_prefix("FINISHED", tag) + "}}\n"; }
 std::string write_echoed(std::uint64_t tag, bool passed) {
-  return head("ECHOED", tag) + R"(},"rc":)" + (passed ? "1" : "0") + "}\n";
+  return message_prefix("ECHOED", tag) + R"(},"rc":)" + (passed ? "1" : "0") + "}\n";
 }
-std::string write_move(std::uint64_t tag) { return head("MOVE", tag) + "}}\n"; }
+std::string write_move(std::uint64_t tag) { return message_prefix("MOVE", tag) + "}}\n"; }
 
 } // namespace snowshore::jsonlines
--- a/src/jsonlines/message.h
+++ b/src/jsonlines/message.h
@@ -1,5 +1,6 @@
-// One message of the platform's viewers: a line that holds one JSON object {"verb","tag","opts","rc","blob"}.
-// A plain value, read and written without sockets; what is read is bounded and checked, nothing is guessed.
+// A message of the viewers' line protocol: one line that holds one JSON object
+// {"verb","tag","opts","rc","blob"}. Messages are plain values; this module uses no sockets. The reader
+// bounds the length of a line and checks the type of each member; it never substitutes a value for a bad one.
 #pragma once
 #include "given/hex_id.h"
 
@@ -12,7 +13,8 @@
 
 namespace snowshore::jsonlines {
 
-inline constexpr std::size_t kMaxLineBytes = 16 * 1024; // the protocol's bound on a message
+// The protocol's bound on a message, without its line end.
+inline constexpr std::size_t kMaxLineBytes = 16 * 1024;
 
 using given::read_hex16;
 using given::write_hex16;
@@ -20,32 +22,38 @@
 struct Message {
   std::string verb;
   std::uint64_t tag = 0;
-  std::vector<std::pair<std::string, std::string>> opts; // numbers as they were written
+  // The members of "opts" in the order in which they were read; a number is kept as its JSON text.
+  std::vector<std::pair<std::string, std::string>> opts;
+  // "rc".
   std::optional<double> cause;
+  // "blob".
   std::optional<std::string> description;
+  // Returns the value of an option, or nullptr when the message has no option of that name.
   const std::string *find_option(std::string_view name) const;
 };
 
-// What is wrong with a line, and under which tag where one could be read.
 struct ParseError {
   std::string reason;
+  // The tag of the line, when it was read before the error was found.
   std::optional<std::uint64_t> tag;
 };
 
-std::optional<Message> parse_message(std::string_view line, ParseError &fault);
+// Parses a line without its line end. On failure returns nothing and fills in `error`.
+std::optional<Message> parse_message(std::string_view line, ParseError &error);
 
-// One line with its end. opts: numbers, none below 0 is written.
+// Each of these returns one line including its line end. Options are non-negative numbers.
 std::string write_started(std::uint64_t tag, std::string_view description);
 std::string write_finish(std::uint64_t tag, int cause, std::optional<std::uint64_t> wait_ms = std::nullopt);
 std::string write_finished(std::uint64_t tag);
 std::string write_echoed(std::uint64_t tag, bool passed);
 std::string write_move(std::uint64_t tag);
 
-// Lines out of bytes that come in any pieces. A line over the bound can't be read, and nothing after it.
+// Splits a byte stream that arrives in pieces of any size into lines. Once a line exceeds kMaxLineBytes,
+// neither it nor anything after it can be read.
 class LineReader {
  public:
-  // Calls on_line for each whole line, without its end, until told to stop by a false; false where the bound
-  // is broken.
+  // Calls on_line with each complete line, without its line end, until on_line returns false; the rest of
+  // `bytes` is then dropped. Returns false when a line exceeds kMaxLineBytes.
   template <class F> bool feed(std::string_view bytes, F on_line) {
     while (!bytes.empty()) {
       std::size_t end = bytes.find('\n');
--- a/src/jsonlines/server.cpp
+++ b/src/jsonlines/server.cpp
@@ -1,3 +1,4 @@
+// Connection handling of the viewers' line server.
 #include "jsonlines/server.h"
 #include "telemetry/loop_clock.h"
 
@@ -10,36 +11,43 @@
 
 namespace {
 
-constexpr auto kAcceptPause = std::chrono::milliseconds(20); // without a free descriptor or connection
-constexpr auto kLookEvery = std::chrono::milliseconds(100);
-constexpr std::size_t kAcceptsATurn = 32;
-constexpr double kSettled = 0.05; // within so long a request may cross the close of its connection
+// Delay before accepting resumes when no descriptor or no connection slot is free.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
+constexpr auto kTimeoutCheckInterval = std::chrono::milliseconds(100);
+constexpr std::size_t kAcceptsPerTurn = 32;
+// Seconds. A connection that was heard from more recently is not closed to make room, since another request
+// may already be on its way and would be lost.
+constexpr double kRecentlyActive = 0.05;
 
 } // namespace
 
 struct Server::Connection {
   ConnectionId id = 0;
   asio::ip::tcp::socket socket;
-  State state = State::silent;
+  State state = State::awaiting_first_line;
   LineReader lines;
-  std::string rest; // read, not yet its turn
+  // Bytes that were read but exceeded the connection's turn.
+  std::string deferred_input;
+  // sending: the bytes of the write in progress. unsent: the bytes that wait for it.
   std::string unsent, sending;
-  int held = 0;
-  bool vouched = false, closes = false; // closes: when no request is open on it
-  double waits_since = 0, heard_at = 0; // since when something whole is due from it (below 0: nothing is)
+  int open_requests = 0;
+  // close_when_idle: the connection is closed when no request is open on it.
+  bool trusted = false, close_when_idle = false;
+  // Steady-clock seconds. awaiting_since: since when a complete line is awaited; negative when none is.
+  double awaiting_since = 0, received_at = 0;
   explicit Connection(asio::ip::tcp::socket s) : socket(std::move(s)) {}
 };
 
 Server::Server(asio::io_context &io, const asio::ip::tcp::endpoint &at, Limits limits, Events events)
     : io_(io), limits_(limits), events_(std::move(events)), acceptor_(io), accept_timer_(io),
-      look_timer_(io) {
+      timeout_timer_(io) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
   acceptor_.bind(at);
   acceptor_.listen(1024);
   acceptor_.non_blocking(true);
   accept();
-  look();
+  check_timeouts();
 }
 
 Server::~Server() { stop(); }
@@ -49,69 +57,74 @@
   asio::error_code ignored;
   acceptor_.close(ignored);
   accept_timer_.cancel();
-  look_timer_.cancel();
-  auto all = std::move(all_);
-  all_.clear();
-  for (auto &[id, one] : all) {
-    become(*one, State::closed);
-    one->socket.close(ignored);
+  timeout_timer_.cancel();
+  auto connections = std::move(connections_);
+  connections_.clear();
+  for (auto &[id, connection] : connections) {
+    set_state(*connection, State::closed);
+    connection->socket.close(ignored);
   }
 }
 
-// A connection that the system has accepted may hold a whole request: the listener closes once none waits.
+// A connection that the operating system has queued may already carry a complete request, so the listener is
+// closed only once the queue is empty.
 void Server::stop_accepting() {
-  if (!accepting_ || last_accepts_) return;
-  last_accepts_ = true;
+  if (!accepting_ || draining_backlog_) return;
+  draining_backlog_ = true;
   asio::error_code ignored;
   acceptor_.cancel(ignored);
   accept_waiting();
 }
 
 bool Server::is_drained() {
-  return !acceptor_.is_open() && std::ranges::none_of(all_, [](const auto &entry) {
-    Connection &one = *entry.second;
-    return unread(one) || !one.unsent.empty() || !one.sending.empty() ||
-           (one.state != State::closing && one.lines.has_partial_line());
+  return !acceptor_.is_open() && std::ranges::none_of(connections_, [](const auto &entry) {
+    Connection &connection = *entry.second;
+    return has_unread_data(connection) || !connection.unsent.empty() || !connection.sending.empty() ||
+           (connection.state != State::closing && connection.lines.has_partial_line());
   });
 }
 
 std::size_t Server::unsent_bytes() const {
   std::size_t sum = 0;
-  for (const auto &[id, one] : all_) sum += one->unsent.size() + one->sending.size();
+  for (const auto &[id, connection] : connections_)
+    sum += connection->unsent.size() + connection->sending.size();
   return sum;
 }
 
-// A socket closed with bytes unread is reset, which may take an answer with it that the viewer has not read.
+// The sockets are not closed: closing a socket with unread input sends a reset, which may discard an answer
+// that the viewer has not read yet.
 void Server::finish_sending() {
   asio::error_code ignored;
-  for (auto &[id, one] : all_) {
-    become(*one, State::closing);
-    one->socket.shutdown(asio::socket_base::shutdown_send, ignored);
+  for (auto &[id, connection] : connections_) {
+    set_state(*connection, State::closing);
+    connection->socket.shutdown(asio::socket_base::shutdown_send, ignored);
   }
 }
 
-bool Server::unread(Connection &one) {
+bool Server::has_unread_data(Connection &connection) {
   asio::error_code failed;
-  return one.state != State::closing && (!one.rest.empty() || one.socket.available(failed) > 0);
+  return connection.state != State::closing &&
+         (!connection.deferred_input.empty() || connection.socket.available(failed) > 0);
 }
 
-void Server::become(Connection &one, State next) { one.state = next; } // the one place where it changes
+void Server::set_state(Connection &connection, State next) { connection.state = next; }
 
-// Accepts all that wait, in bounded turns, so that a crowd does not hold up the others.
+// Waits for incoming connections. They are accepted in bounded batches, so that a burst of new connections
+// does not delay the established ones.
 void Server::accept() {
   if (!accepting_) return;
-  if (last_accepts_) return accept_waiting();
+  if (draining_backlog_) return accept_waiting();
   acceptor_.async_wait(asio::socket_base::wait_read,
                        [this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-                         if (alive.expired() || !accepting_ || last_accepts_) return;
+                         if (alive.expired() || !accepting_ || draining_backlog_) return;
                          if (error) return accept_later();
                          accept_waiting();
                        });
 }
 
 void Server::accept_waiting() {
-  for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
-    if (all_.size() >= limits_.connections && !make_room()) {
+  for (std::size_t i = 0; i < kAcceptsPerTurn; ++i) {
+    if (connections_.size() >= limits_.connections && !make_room()) {
       ++counters_.accept_pauses;
       return accept_later();
     }
@@ -119,235 +132,251 @@
     asio::ip::tcp::socket socket(io_);
     acceptor_.accept(socket, failed);
     if (failed == asio::error::would_block || failed == asio::error::try_again) {
-      if (!last_accepts_) break;
+      if (!draining_backlog_) break;
       accepting_ = false;
       acceptor_.close(failed);
       return;
     }
     if (failed == asio::error::connection_aborted) continue;
-    if (failed) { // out of descriptors, mostly: those in use go on
+    // Usually out of descriptors; established connections are still served.
+    if (failed) {
       ++counters_.accept_faults;
       make_room();
       return accept_later();
     }
-    adopt(std::move(socket));
+    add_connection(std::move(socket));
   }
-  if (!last_accepts_) return accept();
+  if (!draining_backlog_) return accept();
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) accept();
   });
 }
 
 void Server::accept_later() {
-  accept_timer_.expires_after(kAcceptPause);
+  accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (!error && !alive.expired()) accept();
   });
 }
 
-void Server::adopt(asio::ip::tcp::socket socket) {
+void Server::add_connection(asio::ip::tcp::socket socket) {
   ++counters_.accepted;
   asio::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
-  auto one = std::make_shared<Connection>(std::move(socket));
-  one->id = next_++;
-  one->waits_since = one->heard_at = steady_now();
-  all_[one->id] = one;
-  read(one);
+  auto connection = std::make_shared<Connection>(std::move(socket));
+  connection->id = next_id_++;
+  connection->awaiting_since = connection->received_at = steady_now();
+  connections_[connection->id] = connection;
+  read(connection);
 }
 
-// Closes the one that is owed least: without an open request, never vouched for before vouched, longest
-// unheard first. One that was heard of just now, or has said what was not read yet, is let be: a request may
-// be on its way on it; one with an unsent answer is too, as long as it may be about to read that.
+// Closes a connection to admit a new one; returns whether it did. Only connections without open requests
+// qualify: untrusted ones go before trusted ones, then those heard from least recently. A connection that was
+// heard from just now or has unread data is kept, since a request may be on its way. One with unsent data is
+// kept for first_line_timeout, since its viewer may be about to read. A trusted connection is not closed
+// while other connections have yet to send their first line, since those may soon be closed instead.
 bool Server::make_room() {
-  Connection *least = nullptr;
-  bool newcomers = false; // that may go in a moment
+  Connection *candidate = nullptr;
+  bool awaiting_any = false;
   double now = steady_now();
-  for (auto &[id, one] : all_) {
-    bool unsent = !one->unsent.empty() || !one->sending.empty();
-    newcomers = newcomers || one->state == State::silent;
-    if (one->held > 0 || one->heard_at > now - (unsent ? limits_.first_line_timeout : kSettled) ||
-        unread(*one))
+  for (auto &[id, connection] : connections_) {
+    bool unsent = !connection->unsent.empty() || !connection->sending.empty();
+    awaiting_any = awaiting_any || connection->state == State::awaiting_first_line;
+    if (connection->open_requests > 0 ||
+        connection->received_at > now - (unsent ? limits_.first_line_timeout : kRecentlyActive) ||
+        has_unread_data(*connection))
       continue;
-    if (!least || std::pair(one->vouched, one->heard_at) < std::pair(least->vouched, least->heard_at))
-      least = one.get();
+    if (!candidate || std::pair(connection->trusted, connection->received_at) <
+                          std::pair(candidate->trusted, candidate->received_at))
+      candidate = connection.get();
   }
-  if (!least || (least->vouched && newcomers)) return false;
+  if (!candidate || (candidate->trusted && awaiting_any)) return false;
   ++counters_.room_cut;
-  end(*least, "room");
+  close(*candidate, "room");
   return true;
 }
 
-void Server::read(const std::shared_ptr<Connection> &one) {
-  one->socket.async_wait(asio::socket_base::wait_read,
-                         [this, one, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
-                           if (alive.expired() || one->state == State::closed) return;
-                           if (error) return end(*one, "wait");
-                           asio::error_code failed;
-                           std::size_t size = one->socket.read_some(asio::buffer(buffer_), failed);
-                           if (failed == asio::error::would_block || failed == asio::error::try_again)
-                             return read(one);
-                           if (failed) return end(*one, failed == asio::error::eof ? "closed" : "reset");
-                           turn(one, std::string_view(buffer_.data(), size));
-                         });
+void Server::read(const std::shared_ptr<Connection> &connection) {
+  connection->socket.async_wait(
+      asio::socket_base::wait_read,
+      [this, connection, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
+        if (alive.expired() || connection->state == State::closed) return;
+        if (error) return close(*connection, "wait");
+        asio::error_code failed;
+        std::size_t size = connection->socket.read_some(asio::buffer(buffer_), failed);
+        if (failed == asio::error::would_block || failed == asio::error::try_again) return read(connection);
+        if (failed) return close(*connection, failed == asio::error::eof ? "closed" : "reset");
+        handle_input(connection, std::string_view(buffer_.data(), size));
+      });
 }
 
-void Server::turn(const std::shared_ptr<Connection> &one, std::string_view bytes) {
-  if (one->state == State::closing) return read(one); // what it still says is not read any more
-  std::size_t left = limits_.lines_per_turn, used = 0;
-  bool read_all = one->lines.feed(bytes, [&](std::string_view line) {
-    // line may lie in the reader, not in bytes: what is used is counted from the bytes' line ends
-    used = bytes.find('\n', used) + 1;
+void Server::handle_input(const std::shared_ptr<Connection> &connection, std::string_view bytes) {
+  if (connection->state == State::closing) return read(connection); // further input is discarded
+  std::size_t lines_left = limits_.lines_per_turn, consumed = 0;
+  bool read_all = connection->lines.feed(bytes, [&](std::string_view line) {
+    // `line` may point into the reader instead of `bytes`, so the consumed length is found by searching
+    // `bytes` for line ends.
+    consumed = bytes.find('\n', consumed) + 1;
     ++counters_.lines_received;
-    one->heard_at = steady_now();
-    if (one->state == State::silent) become(*one, State::talking);
-    one->waits_since = -1;
-    events_.on_line(one->id, line);
-    return one->state == State::talking && --left > 0;
+    connection->received_at = steady_now();
+    if (connection->state == State::awaiting_first_line) set_state(*connection, State::active);
+    connection->awaiting_since = -1;
+    events_.on_line(connection->id, line);
+    return connection->state == State::active && --lines_left > 0;
   });
-  if (one->state == State::closed) return;
+  if (connection->state == State::closed) return;
   if (!read_all) {
     ++counters_.overlong;
-    return end(*one, "overlong");
+    return close(*connection, "overlong");
   }
-  if (one->state == State::closing) return read(one);
-  if (left == 0 && used < bytes.size()) { // the others' turn
-    one->rest.assign(bytes.substr(used));
-    asio::post(io_, [this, one, alive = std::weak_ptr<bool>(alive_)] {
-      if (alive.expired() || one->state == State::closed) return;
-      std::string rest = std::exchange(one->rest, {});
-      turn(one, rest);
+  if (connection->state == State::closing) return read(connection);
+  // The turn is used up: the rest waits until the other connections have been served.
+  if (lines_left == 0 && consumed < bytes.size()) {
+    connection->deferred_input.assign(bytes.substr(consumed));
+    asio::post(io_, [this, connection, alive = std::weak_ptr<bool>(alive_)] {
+      if (alive.expired() || connection->state == State::closed) return;
+      std::string deferred = std::exchange(connection->deferred_input, {});
+      handle_input(connection, deferred);
     });
     return;
   }
-  if (one->waits_since < 0 && one->lines.has_partial_line()) one->waits_since = steady_now();
-  read(one);
+  if (connection->awaiting_since < 0 && connection->lines.has_partial_line())
+    connection->awaiting_since = steady_now();
+  read(connection);
 }
 
 bool Server::send(ConnectionId id, std::string line) {
-  auto it = all_.find(id);
-  if (it == all_.end()) return false;
-  auto one = it->second;
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return false;
+  auto connection = it->second;
   ++counters_.lines_sent;
-  one->unsent += line;
-  if (one->unsent.size() + one->sending.size() > limits_.unsent_bytes) {
+  connection->unsent += line;
+  if (connection->unsent.size() + connection->sending.size() > limits_.unsent_bytes) {
     ++counters_.unread_cut;
     asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
       if (!alive.expired()) close_now(id);
     });
     return false;
   }
-  if (one->sending.empty()) write(one);
+  if (connection->sending.empty()) write(connection);
   return true;
 }
 
-void Server::write(const std::shared_ptr<Connection> &one) {
-  one->sending = std::exchange(one->unsent, {});
-  asio::async_write(one->socket, asio::buffer(one->sending),
-                    [this, one, alive = std::weak_ptr<bool>(alive_)](asio::error_code error, std::size_t) {
-                      if (alive.expired() || one->state == State::closed) return;
-                      if (error) return end(*one, "write");
-                      one->sending.clear();
-                      if (!one->unsent.empty()) return write(one);
-                      if (one->state == State::closing) end(*one, "refused");
-                    });
+void Server::write(const std::shared_ptr<Connection> &connection) {
+  connection->sending = std::exchange(connection->unsent, {});
+  asio::async_write(
+      connection->socket, asio::buffer(connection->sending),
+      [this, connection, alive = std::weak_ptr<bool>(alive_)](asio::error_code error, std::size_t) {
+        if (alive.expired() || connection->state == State::closed) return;
+        if (error) return close(*connection, "write");
+        connection->sending.clear();
+        if (!connection->unsent.empty()) return write(connection);
+        if (connection->state == State::closing) close(*connection, "refused");
+      });
 }
 
 void Server::add_open_requests(ConnectionId id, int by) {
-  auto it = all_.find(id);
-  if (it == all_.end()) return;
-  it->second->held += by;
-  if (it->second->closes && it->second->held == 0) close_after_open_requests(id);
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  it->second->open_requests += by;
+  if (it->second->close_when_idle && it->second->open_requests == 0) close_after_open_requests(id);
 }
 
-// Posted: the answer to the last request may come right after it was let go.
+// The close is posted because the answer to the last request may be sent right after its count is
+// decremented.
 void Server::close_after_open_requests(ConnectionId id) {
-  auto it = all_.find(id);
-  if (it == all_.end()) return;
-  it->second->closes = true;
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  it->second->close_when_idle = true;
   asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired() && open_requests(id) == 0) close_after_sending(id);
   });
 }
 
 bool Server::is_closing(ConnectionId id) const {
-  auto it = all_.find(id);
-  return it != all_.end() && (it->second->closes || it->second->state == State::closing);
+  auto it = connections_.find(id);
+  return it != connections_.end() && (it->second->close_when_idle || it->second->state == State::closing);
 }
 
 int Server::open_requests(ConnectionId id) const {
-  auto it = all_.find(id);
-  return it == all_.end() ? 0 : it->second->held;
+  auto it = connections_.find(id);
+  return it == connections_.end() ? 0 : it->second->open_requests;
 }
 
 void Server::mark_trusted(ConnectionId id) {
-  if (auto it = all_.find(id); it != all_.end()) it->second->vouched = true, vouched_ = id;
+  if (auto it = connections_.find(id); it != connections_.end())
+    it->second->trusted = true, latest_trusted_ = id;
 }
 
 std::optional<Server::ConnectionId> Server::latest_trusted() const {
-  if (all_.contains(vouched_)) return vouched_;
+  if (connections_.contains(latest_trusted_)) return latest_trusted_;
   const Connection *best = nullptr;
-  for (const auto &[id, one] : all_) {
-    if (one->vouched && one->state == State::talking && (!best || one->heard_at > best->heard_at))
-      best = one.get();
+  for (const auto &[id, connection] : connections_) {
+    if (connection->trusted && connection->state == State::active &&
+        (!best || connection->received_at > best->received_at))
+      best = connection.get();
   }
   return best ? std::optional(best->id) : std::nullopt;
 }
 
 bool Server::is_trusted(ConnectionId id) const {
-  auto it = all_.find(id);
-  return it != all_.end() && it->second->vouched;
+  auto it = connections_.find(id);
+  return it != connections_.end() && it->second->trusted;
 }
 
 void Server::close_after_sending(ConnectionId id) {
-  auto it = all_.find(id);
-  if (it == all_.end() || it->second->state == State::closed) return;
-  auto one = it->second;
-  become(*one, State::closing);
-  one->waits_since = steady_now();
-  if (one->sending.empty()) close_after_turn(id);
+  auto it = connections_.find(id);
+  if (it == connections_.end() || it->second->state == State::closed) return;
+  auto connection = it->second;
+  set_state(*connection, State::closing);
+  connection->awaiting_since = steady_now();
+  if (connection->sending.empty()) close_after_turn(id);
 }
 
 void Server::close_after_turn(ConnectionId id) {
-  auto it = all_.find(id);
-  if (it == all_.end()) return;
-  become(*it->second, State::closing);
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  set_state(*it->second, State::closing);
   asio::post(io_, [this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) close_now(id);
   });
 }
 
 void Server::close_now(ConnectionId id) {
-  if (auto it = all_.find(id); it != all_.end()) end(*it->second, "cut");
+  if (auto it = connections_.find(id); it != connections_.end()) close(*it->second, "cut");
 }
 
-void Server::end(Connection &one, const char *why) {
-  if (one.state == State::closed) return;
-  become(one, State::closed);
+void Server::close(Connection &connection, const char *why) {
+  if (connection.state == State::closed) return;
+  set_state(connection, State::closed);
   asio::error_code ignored;
-  one.socket.close(ignored);
-  ConnectionId id = one.id;
-  auto kept = all_.extract(id);
+  connection.socket.close(ignored);
+  ConnectionId id = connection.id;
+  // Keeps the connection alive during the call.
+  auto kept = connections_.extract(id);
   events_.on_closed(id, why);
 }
 
-// Who connects and says nothing whole in time, or half a line, is closed; who stands idle after that is not.
-void Server::look() {
-  look_timer_.expires_after(kLookEvery);
-  look_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
+// Closes connections that sent no complete line in time after connecting or have left a line incomplete. A
+// connection that is idle between lines is kept.
+void Server::check_timeouts() {
+  timeout_timer_.expires_after(kTimeoutCheckInterval);
+  timeout_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](asio::error_code error) {
     if (error || alive.expired()) return;
     double due = steady_now() - limits_.first_line_timeout;
     std::vector<ConnectionId> silent;
-    for (auto &[id, one] : all_) {
-      if (one->waits_since >= 0 && one->waits_since < due && one->held == 0 && !unread(*one))
-        silent.push_back(id); // what is unread was said while the front stood still
+    for (auto &[id, connection] : connections_) {
+      // Unread data arrived in time if the front itself was stalled.
+      if (connection->awaiting_since >= 0 && connection->awaiting_since < due &&
+          connection->open_requests == 0 && !has_unread_data(*connection))
+        silent.push_back(id);
     }
     for (ConnectionId id : silent) {
       ++counters_.silent_cut;
       close_now(id);
     }
-    look();
+    check_timeouts();
   });
 }
 
--- a/src/jsonlines/server.h
+++ b/src/jsonlines/server.h
@@ -1,5 +1,7 @@
-// Viewers' connections: lines in, lines out, many plays on each. It knows limits and turns, no meaning. One
-// executor; no call of Events comes during a call on the server, but for cut().
+// TCP server for the viewers' line protocol: accepts connections, splits what they send into lines and sends
+// lines back. One connection may carry many plays. The server enforces limits and fairness; it does not
+// interpret the lines. It runs on one executor: every call and every event is made on the thread that runs
+// the io_context. No event is raised during a call of a member function, except by close_now().
 #pragma once
 #include "jsonlines/message.h"
 
@@ -16,82 +18,118 @@
 
 struct Limits {
   std::size_t connections = 64;
-  std::size_t unsent_bytes = 256 * 1024; // a viewer that does not read what it is sent is cut
-  std::size_t lines_per_turn = 16;       // then other connections have theirs
-  double first_line_timeout = 2; // seconds to say something whole, from connecting or from its first byte;
-                                 // and to read what it was sent, where room is wanted
+  // A viewer that does not read is disconnected when more than this waits to be sent to it.
+  std::size_t unsent_bytes = 256 * 1024;
+  // The number of lines that are handled from one connection before the other connections are served.
+  std::size_t lines_per_turn = 16;
+  // Seconds. A connection must send its first complete line within this time after it connects, and a later
+  // line must be complete within this time after its first byte. When room is needed for a new connection, a
+  // viewer is also given this time to read what was sent to it.
+  double first_line_timeout = 2;
 };
 
+// Totals since the start. The *_cut counters count connections that the server closed.
 struct Counters {
-  std::uint64_t accepted = 0, silent_cut = 0, room_cut = 0, unread_cut = 0, overlong = 0, accept_faults = 0,
-                accept_pauses = 0, lines_received = 0, lines_sent = 0;
+  std::uint64_t accepted = 0;
+  // No complete line in time.
+  std::uint64_t silent_cut = 0;
+  // Closed in favor of a new connection.
+  std::uint64_t room_cut = 0;
+  // More than Limits::unsent_bytes waited to be sent.
+  std::uint64_t unread_cut = 0;
+  // Closed for a line longer than kMaxLineBytes.
+  std::uint64_t overlong = 0;
+  std::uint64_t accept_faults = 0;
+  // Times that accepting waited because no connection could be closed.
+  std::uint64_t accept_pauses = 0;
+  std::uint64_t lines_received = 0, lines_sent = 0;
 };
 
 class Server {
  public:
-  using ConnectionId = std::uint64_t; // never given again
+  // Identifiers are not reused.
+  using ConnectionId = std::uint64_t;
   struct Events {
     std::function<void(ConnectionId, std::string_view line)> on_line;
-    std::function<void(ConnectionId, const char *why)> on_closed; // whoever closed it, once
+    // Raised exactly once for each connection, whichever side closed it.
+    std::function<void(ConnectionId, const char *why)> on_closed;
   };
-  // Listens at once; throws std::system_error.
+  // Starts to listen; throws std::system_error when that fails.
   Server(asio::io_context &io, const asio::ip::tcp::endpoint &at, Limits limits, Events events);
   ~Server();
   asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
-  std::size_t connections() const { return all_.size(); }
+  std::size_t connections() const { return connections_.size(); }
   const Counters &counters() const { return counters_; }
-  void set_limits(const Limits &limits) { limits_ = limits; } // those over them go as others come
+  // Connections beyond a lowered limit stay open until new ones arrive.
+  void set_limits(const Limits &limits) { limits_ = limits; }
 
-  bool send(ConnectionId id, std::string line); // false: there is no such connection any more
-  void add_open_requests(ConnectionId id,
-                         int by); // so many requests are open on it (added): it is not closed to make room
+  // Returns false when the connection no longer exists or is about to be closed for unread data.
+  bool send(ConnectionId id, std::string line);
+  // Adds `by`, which may be negative, to the number of open requests of a connection. A connection with open
+  // requests is not closed to make room.
+  void add_open_requests(ConnectionId id, int by);
   int open_requests(ConnectionId id) const;
-  void mark_trusted(
-      ConnectionId id); // a play stands by it: it may be told of plays that other connections brought
+  // Marks the connection as one that a play belongs to. Lines about plays whose own connection is gone may be
+  // sent on such a connection.
+  void mark_trusted(ConnectionId id);
   bool is_trusted(ConnectionId id) const;
-  std::optional<ConnectionId> latest_trusted() const; // the one that was vouched for last
-  void close_after_sending(ConnectionId id);          // reads nothing more
-  void close_after_open_requests(
-      ConnectionId id); // once no request is open on it and all is sent; it is read until then
-  bool is_closing(ConnectionId id) const; // nothing new is to be taken from it
-  void close_now(ConnectionId id);        // at once; closed comes during the call
-  void close_after_turn(ConnectionId id); // after this turn; nothing more is read
-  // The planned end, in this order: stop_accepting() takes what the system has accepted already, then closes
-  // the listener; is_quiet() once that is done and no connection has anything unread, half read or unsent;
-  // finish() ends what is sent on each and passes over what still comes, until stop().
+  // Returns the connection that was marked last or, when that is gone, the active trusted connection that was
+  // heard from most recently.
+  std::optional<ConnectionId> latest_trusted() const;
+  // Stops reading and closes the connection once everything is sent.
+  void close_after_sending(ConnectionId id);
+  // Closes the connection once it has no open request and everything is sent; it is read until then.
+  void close_after_open_requests(ConnectionId id);
+  // Returns whether the connection is being closed, so that no new request may be accepted from it.
+  bool is_closing(ConnectionId id) const;
+  // Closes the connection; on_closed is raised during the call.
+  void close_now(ConnectionId id);
+  // Stops reading and closes the connection after the current event handler has returned.
+  void close_after_turn(ConnectionId id);
+  // A graceful shutdown calls these in order. stop_accepting() accepts the connections that the operating
+  // system has already queued and then closes the listener. is_drained() is true once the listener is closed
+  // and no connection has data that is unread, incomplete or unsent. finish_sending() shuts down the sending
+  // side of each connection and ignores further input until stop() closes everything.
   void stop_accepting();
   bool is_listening() const { return acceptor_.is_open(); }
   bool is_drained();
-  std::size_t unsent_bytes() const; // bytes, over all connections
+  // Bytes that wait to be sent, over all connections.
+  std::size_t unsent_bytes() const;
   void finish_sending();
   void stop();
 
  private:
   struct Connection;
-  enum class State { silent, talking, closing, closed };
-  static void become(Connection &one, State next);
-  static bool unread(Connection &one); // it has said what had no turn yet
+  // awaiting_first_line: no complete line was received yet. closing: input is no longer read.
+  enum class State { awaiting_first_line, active, closing, closed };
+  static void set_state(Connection &connection, State next);
+  // Returns whether received data waits to be handled, here or in the socket.
+  static bool has_unread_data(Connection &connection);
   void accept();
   void accept_waiting();
   void accept_later();
-  void adopt(asio::ip::tcp::socket socket);
+  void add_connection(asio::ip::tcp::socket socket);
   bool make_room();
-  void read(const std::shared_ptr<Connection> &one);
-  void turn(const std::shared_ptr<Connection> &one, std::string_view bytes);
-  void write(const std::shared_ptr<Connection> &one);
-  void end(Connection &one, const char *why);
-  void look(); // at those who say nothing whole
+  void read(const std::shared_ptr<Connection> &connection);
+  void handle_input(const std::shared_ptr<Connection> &connection, std::string_view bytes);
+  void write(const std::shared_ptr<Connection> &connection);
+  void close(Connection &connection, const char *why);
+  // Closes connections that did not complete a line in time, periodically.
+  void check_timeouts();
 
   asio::io_context &io_;
   Limits limits_;
   Events events_;
   Counters counters_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer accept_timer_, look_timer_;
-  std::array<char, 32 * 1024> buffer_; // shared: emptied before the next read
-  std::unordered_map<ConnectionId, std::shared_ptr<Connection>> all_;
-  ConnectionId next_ = 1, vouched_ = 0;
-  bool accepting_ = true, last_accepts_ = false;
+  asio::steady_timer accept_timer_, timeout_timer_;
+  // Shared by all connections: its content is handled before the next read.
+  std::array<char, 32 * 1024> buffer_;
+  std::unordered_map<ConnectionId, std::shared_ptr<Connection>> connections_;
+  ConnectionId next_id_ = 1, latest_trusted_ = 0;
+  // draining_backlog_: stop_accepting() was called and queued connections are still being accepted.
+  bool accepting_ = true, draining_backlog_ = false;
+  // Callbacks hold a weak reference to detect that the server was destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
