--- a/src/rtsp/message.cpp
+++ b/src/rtsp/message.cpp
@@ -1,3 +1,4 @@
+// Parsing and writing of RTSP messages.
 #include "rtsp/message.h"
 
 #include <algorithm>
@@ -8,17 +9,18 @@
 namespace {
 
 constexpr std::string_view kVersion = "RTSP/1.0";
-constexpr std::size_t kLongestMethod = 20, kMostHeaders = 64;
+constexpr std::size_t kMaxMethodLength = 20, kMaxHeaders = 64;
 
 bool same_name(std::string_view a, std::string_view b) {
   auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
   return std::ranges::equal(a, b, {}, lower, lower);
 }
 
-bool is_method(char c) { return (c >= 'A' && c <= 'Z') || c == '_'; }
-bool is_visible(char c) { return c > ' ' && c < 127; }
+bool is_method_char(char c) { return (c >= 'A' && c <= 'Z') || c == '_'; }
+bool is_visible_char(char c) { return c > ' ' && c < 127; }
 
-// A line and its end: by CR LF, nothing else.
+// Removes the first line from `text` and returns it without its line end, or returns nothing when there is no
+// CR LF. A lone CR or LF does not end a line.
 std::optional<std::string_view> take_line(std::string_view &text) {
   std::size_t end = text.find("\r\n");
   if (end == std::string_view::npos) return std::nullopt;
@@ -51,68 +53,70 @@
   return out.append(message.body);
 }
 
-bool MessageReader::may_begin(std::string_view text) {
-  std::size_t same = std::min(text.size(), kVersion.size());
-  if (text.substr(0, same) == kVersion.substr(0, same)) return true;
-  std::size_t word = 0;
-  while (word < text.size() && word <= kLongestMethod && is_method(text[word])) ++word;
-  if (word == text.size()) return word <= kLongestMethod;
-  return word > 0 && word <= kLongestMethod && text[word] == ' ';
+bool MessageReader::can_start_message(std::string_view text) {
+  std::size_t common = std::min(text.size(), kVersion.size());
+  if (text.substr(0, common) == kVersion.substr(0, common)) return true;
+  std::size_t length = 0;
+  while (length < text.size() && length <= kMaxMethodLength && is_method_char(text[length])) ++length;
+  if (length == text.size()) return length <= kMaxMethodLength;
+  return length > 0 && length <= kMaxMethodLength && text[length] == ' ';
 }
 
 std::size_t MessageReader::parse(std::string_view text, Message &message) {
-  auto bad = [this](const char *why) {
-    why_ = why;
+  auto fail = [this](const char *reason) {
+    error_ = reason;
     return std::size_t{0};
   };
   if (text.empty()) return 0;
-  if (!may_begin(text)) return bad("no message begins so");
-  std::size_t head = text.substr(0, kMaxMessageBytes).find("\r\n\r\n");
-  if (head == std::string_view::npos)
-    return text.size() >= kMaxMessageBytes ? bad("a head without end") : std::size_t{0};
-  std::string_view rest = text.substr(0, head + 2), first = *take_line(rest);
-  if (first.starts_with(kVersion)) {
-    std::string_view word = first.substr(kVersion.size());
-    if (word.size() < 4 || word[0] != ' ' || (word.size() > 4 && word[4] != ' '))
-      return bad("a bad status line");
-    auto [end, error] = std::from_chars(word.data() + 1, word.data() + 4, message.status);
-    if (error != std::errc() || end != word.data() + 4 || message.status < 100 || message.status > 599)
-      return bad("a bad status");
+  if (!can_start_message(text)) return fail("not the start of a message");
+  std::size_t head_size = text.substr(0, kMaxMessageBytes).find("\r\n\r\n");
+  if (head_size == std::string_view::npos)
+    return text.size() >= kMaxMessageBytes ? fail("the message head is too long") : std::size_t{0};
+  std::string_view rest = text.substr(0, head_size + 2), first_line = *take_line(rest);
+  if (first_line.starts_with(kVersion)) {
+    std::string_view status_text = first_line.substr(kVersion.size());
+    if (status_text.size() < 4 || status_text[0] != ' ' || (status_text.size() > 4 && status_text[4] != ' '))
+      return fail("malformed status line");
+    auto [end, error] = std::from_chars(status_text.data() + 1, status_text.data() + 4, message.status);
+    if (error != std::errc() || end != status_text.data() + 4 || message.status < 100 || message.status > 599)
+      return fail("invalid status code");
   } else {
-    std::size_t space = first.find(' '), last = first.rfind(' ');
-    if (last == space || first.substr(last + 1) != kVersion) return bad("a bad request line");
-    message.method = first.substr(0, space);
-    message.uri = first.substr(space + 1, last - space - 1);
-    if (!std::ranges::all_of(message.uri, is_visible)) return bad("a bad address");
+    std::size_t first_space = first_line.find(' '), last_space = first_line.rfind(' ');
+    if (last_space == first_space || first_line.substr(last_space + 1) != kVersion)
+      return fail("malformed request line");
+    message.method = first_line.substr(0, first_space);
+    message.uri = first_line.substr(first_space + 1, last_space - first_space - 1);
+    if (!std::ranges::all_of(message.uri, is_visible_char))
+      return fail("invalid character in the request URI");
   }
   std::optional<std::size_t> length;
   while (!rest.empty()) {
     std::string_view line = *take_line(rest);
     std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos || colon == 0) return bad("a header without a name");
+    if (colon == std::string_view::npos || colon == 0) return fail("header line without a name");
     std::string_view name = line.substr(0, colon), value = line.substr(colon + 1);
-    if (!std::ranges::all_of(name, is_visible)) return bad("a bad header name");
+    if (!std::ranges::all_of(name, is_visible_char)) return fail("invalid character in a header name");
     while (!value.empty() && (value.front() == ' ' || value.front() == '\t')) value.remove_prefix(1);
     while (!value.empty() && (value.back() == ' ' || value.back() == '\t')) value.remove_suffix(1);
     if (std::ranges::any_of(value, [](char c) { return static_cast<unsigned char>(c) < ' ' && c != '\t'; }))
-      return bad("a header with control characters");
-    if (message.headers.size() >= kMostHeaders) return bad("too many headers");
+      return fail("control character in a header value");
+    if (message.headers.size() >= kMaxHeaders) return fail("too many headers");
     if (same_name(name, "Content-Length")) {
       std::size_t size = 0;
       auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), size);
       if (length || error != std::errc() || end != value.data() + value.size())
-        return bad("a bad or repeated Content-Length");
-      if (size > kMaxMessageBytes) return bad("a body over the bound");
+        return fail("invalid or repeated Content-Length");
+      if (size > kMaxMessageBytes) return fail("Content-Length exceeds the message size limit");
       length = size;
     }
     message.headers.emplace_back(name, value);
   }
-  if (!length) return bad("no Content-Length");
-  std::size_t whole = head + 4 + *length;
-  if (whole > kMaxMessageBytes) return bad("a message over the bound");
-  if (text.size() < whole) return 0;
-  message.body = text.substr(head + 4, *length);
-  return whole;
+  if (!length) return fail("Content-Length is missing");
+  std::size_t total = head_size + 4 + *length;
+  if (total > kMaxMessageBytes) return fail("the message exceeds the size limit");
+  if (text.size() < total) return 0;
+  message.body = text.substr(head_size + 4, *length);
+  return total;
 }
 
 } // namespace snowshore::rtsp
--- a/src/rtsp/message.h
+++ b/src/rtsp/message.h
@@ -1,6 +1,6 @@
-// RTSP/1.0 messages as the platform's servers speak it (RFC 2326's form, one Content-Length in each message).
-// The reader is a plain value without sockets: bytes in any pieces, whole messages out, bounded; what can't
-// be read ends it for good.
+// RTSP/1.0 messages in the form of RFC 2326 that the platform's servers use; each message carries exactly one
+// Content-Length. Messages are plain values; this module uses no sockets. The reader accepts bytes in pieces
+// of any size, bounds the size of a message and stops for good at the first syntax error.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -11,51 +11,59 @@
 
 namespace snowshore::rtsp {
 
-inline constexpr std::size_t kMaxMessageBytes = 16 * 1024; // the protocol's bound on a message
+// The protocol's bound on a message, head and body together.
+inline constexpr std::size_t kMaxMessageBytes = 16 * 1024;
 
 struct Message {
-  int status = 0;     // of an answer; 0: a request
-  std::string method; // of a request
+  // The status code of a response; 0 in a request.
+  int status = 0;
+  // The method and the URI of a request.
+  std::string method;
   std::string uri;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  std::optional<std::string_view> find_header(std::string_view name) const; // names regardless of case
+  // Returns the value of the first header of that name, compared case-insensitively.
+  std::optional<std::string_view> find_header(std::string_view name) const;
   void add_header(std::string_view name, std::string_view value) { headers.emplace_back(name, value); }
 };
 
-// Headers as they are, Content-Length added. Values must hold no line ends: who writes sees to that.
+// Writes the headers unchanged and adds Content-Length. The caller ensures that no value contains a line end.
 std::string write_message(const Message &message);
 
+// Reads the messages of one connection.
 class MessageReader {
  public:
-  // Takes bytes, calls on_message for each whole message; false once something can't be read (error() says
-  // what): the message before it is not told either if what follows it in the same piece is no message.
+  // Calls on_message for each complete message in `bytes` and in what was kept from earlier calls. Returns
+  // false once a syntax error is found; error() then describes it. A message is not delivered when the bytes
+  // that follow it in the same piece cannot start another message, since its length must then be wrong.
   template <class F> bool feed(std::string_view bytes, F on_message) {
-    if (!why_.empty()) return false;
+    if (!error_.empty()) return false;
     buffer_.append(bytes);
     std::size_t at = 0;
-    while (why_.empty()) {
+    while (error_.empty()) {
       Message message;
       std::size_t used = parse(std::string_view(buffer_).substr(at), message);
       if (used == 0) break;
       at += used;
-      if (at < buffer_.size() && !may_begin(std::string_view(buffer_).substr(at))) {
-        why_ = "what follows a message is none";
+      if (at < buffer_.size() && !can_start_message(std::string_view(buffer_).substr(at))) {
+        error_ = "the bytes after a message do not start another message";
         break;
       }
       on_message(message);
     }
     buffer_.erase(0, at);
-    return why_.empty();
+    return error_.empty();
   }
   bool has_partial_message() const { return !buffer_.empty(); }
-  const std::string &error() const { return why_; }
+  const std::string &error() const { return error_; }
 
  private:
-  std::size_t parse(std::string_view text,
-                    Message &message);          // how much it took, 0: not whole, or why_ is set
-  static bool may_begin(std::string_view text); // the first bytes of some message
-  std::string buffer_, why_;
+  // Returns the number of bytes of the message at the start of `text`, or 0 when it is incomplete or a syntax
+  // error was found and stored in error_.
+  std::size_t parse(std::string_view text, Message &message);
+  // Returns whether a message may start with these bytes, which may be only the first ones of a message.
+  static bool can_start_message(std::string_view text);
+  std::string buffer_, error_;
 };
 
 } // namespace snowshore::rtsp
--- a/src/rtsp/peer.h
+++ b/src/rtsp/peer.h
@@ -1,7 +1,8 @@
-// What the front says to one server and hears from it, over a few kept connections: set-ups, releases, rungs,
-// tests. It keeps set-ups until their end, chooses a connection for each, and reports ends and facts; what an
-// end means for a play, and whether the server still lives, is judged by others. One executor; Events come
-// after the call that caused them, never during it. Timeouts are seconds.
+// RTSP client for one media server, over a small pool of persistent connections: set-ups, releases, rung
+// changes and probes. It tracks each set-up until it ends, chooses a connection for each message and reports
+// results; the caller decides what a result means for a play and whether the server is alive. It runs on one
+// executor: every call is made on the thread that runs the io_context, and events are raised after the call
+// that caused them, never during it. Times are in seconds.
 #pragma once
 #include "rtsp/message.h"
 
@@ -19,18 +20,26 @@
 namespace snowshore::rtsp {
 
 struct Timeouts {
-  double connect = 0.25; // a connection not up by then has failed
-  double message = 0.25; // a message begun and not whole by then can't be read
-  double idle = 30;      // the other side closes idle connections after this
+  // A connection that is not established within this time has failed.
+  double connect = 0.25;
+  // A message that is not complete within this time after its first byte counts as unreadable.
+  double message = 0.25;
+  // The server closes a connection that is idle for longer than this.
+  double idle = 30;
   double probe = 0.25;
 };
 
 struct Limits {
-  std::size_t connections = 4;             // to one server
-  std::size_t set_ups_per_connection = 32; // open on one connection
-  std::size_t unsent_bytes = 64 * 1024;    // bytes that a connection may hold unwritten
+  // To one server.
+  std::size_t connections = 4;
+  std::size_t set_ups_per_connection = 32;
+  // Unsent bytes that one connection may hold.
+  std::size_t unsent_bytes = 64 * 1024;
 };
 
+// How a set-up, a probe or a connection ended. connect_failed: the connection was not established, or a
+// set-up timed out before it was sent. no_capacity: a limit on connections or set-ups prevented it, or an
+// idle connection was closed to free its descriptor.
 enum class EndReason {
   answered,
   connection_refused,
@@ -44,107 +53,142 @@
 inline constexpr const char *kEndReasonNames[] = {"answered", "refused",    "not_up",    "closed",
                                                   "reset",    "unreadable", "timed_out", "no_room"};
 
+// The caller ensures that the texts contain nothing that is invalid in a header or a URI.
 struct SetUpRequest {
   std::uint64_t session = 0;
-  std::string_view title, tier, description; // checked to hold nothing that the head could not
+  std::string_view title, tier, description;
   int rung = 0;
   double timeout = 0;
 };
 
+// Counters shared by the peers of all servers.
 struct PeerCounters {
-  std::uint64_t connects = 0, set_ups = 0, answers = 0, given_up = 0, late = 0, unexpected_answers = 0,
-                no_room = 0, recalled_unsent = 0, releases_again = 0, releases_dropped = 0,
-                maintenance_runs = 0;
-  std::size_t connections = 0; // under way or up now, to all servers
+  std::uint64_t connects = 0, set_ups = 0, answers = 0;
+  // Set-ups that were cancelled or timed out.
+  std::uint64_t given_up = 0;
+  // Successful answers to such set-ups, whose sessions were then released.
+  std::uint64_t late = 0;
+  // Successful answers to set-ups that are neither outstanding nor known to be given up.
+  std::uint64_t unexpected_answers = 0;
+  std::uint64_t no_room = 0;
+  // Set-ups that were given up before they were written to a connection.
+  std::uint64_t recalled_unsent = 0;
+  std::uint64_t releases_again = 0, releases_dropped = 0;
+  // Calls of Peer::maintain().
+  std::uint64_t maintenance_runs = 0;
+  // Connections that are established or being established now, to all servers.
+  std::size_t connections = 0;
 };
 
 class Peer {
  public:
   struct Events {
-    // Of a set-up, once: how it ended; the message where it was answered.
+    // Raised exactly once for each set-up that was not cancelled. `message` is the answer, or nullptr when
+    // there was none; it is a request when the server released the session before it answered.
     std::function<void(std::uint64_t session, EndReason end, const Message *message, double took)>
         on_set_up_ended;
-    std::function<void(std::uint64_t session, const Message &request)>
-        on_request; // a note or a release of the server's
+    // A request from the server: a notification or a release.
+    std::function<void(std::uint64_t session, const Message &request)> on_request;
     std::function<void(EndReason end, const Message *message)> on_probe_ended;
-    std::function<void()> on_data, on_connected; // any bytes; a connection came up
-    std::function<void(EndReason end, bool last)>
-        on_disconnected; // a connection ended or did not come up; last: none is open now
-    std::function<bool()>
-        may_connect; // is there a descriptor for one more connection? may close others' idle ones
-    std::function<bool(std::uint64_t session)> has_session; // does this session stand with us at this server?
+    // on_data: bytes were received. on_connected: a connection was established.
+    std::function<void()> on_data, on_connected;
+    // A connection ended or could not be established; `last` tells that no connection is open now.
+    std::function<void(EndReason end, bool last)> on_disconnected;
+    // Returns whether a descriptor is available for one more connection. It may close idle connections of
+    // other servers.
+    std::function<bool()> may_connect;
+    // Returns whether the session currently belongs to a play that is on this server.
+    std::function<bool(std::uint64_t session)> has_session;
   };
-  Peer(asio::io_context &io, asio::ip::tcp::endpoint at, const Timeouts &times, const Limits &limits,
+  Peer(asio::io_context &io, asio::ip::tcp::endpoint at, const Timeouts &timeouts, const Limits &limits,
        PeerCounters &counters, std::uint64_t seed, Events events);
   ~Peer();
   const asio::ip::tcp::endpoint &address() const { return at_; }
-  std::size_t open_connections() const; // connections that are up
-  std::size_t connections() const { return links_.size(); }
-  std::size_t unsent_bytes() const; // bytes that wait for a connection or for the server to read
+  // The number of established connections; connections() also counts those being established.
+  std::size_t open_connections() const;
+  std::size_t connections() const { return connections_.size(); }
+  // Bytes that wait for a connection to be established or for the server to read.
+  std::size_t unsent_bytes() const;
 
   void set_up(const SetUpRequest &set_up);
-  // No on_set_up_ended comes for it any more. What was not sent yet never is; else the server is told, and
-  // true.
+  // Cancels a set-up; on_set_up_ended is not raised for it. A set-up that is still unsent is discarded;
+  // otherwise a release is sent to the server. Returns true when the server may have received the set-up.
   bool cancel_set_up(std::uint64_t session);
-  // Of a session that stands: said again on another connection where the one that carried it ends before the
-  // server can be held to have heard it.
+  // Releases an established session. The release is repeated on another connection when the one that carried
+  // it ends before the server can be assumed to have received it.
   void release(std::uint64_t session, int cause);
   void set_rung(std::uint64_t session, int rung);
   void probe();
-  void try_connect(); // opens one more connection: does the machine still answer?
-  void maintain();    // ten times a second: half messages, connections to close, releases to say again
-  bool has_unwritten_releases() const; // some are not yet written to a connection that is up
-  bool is_unused() const { return links_.empty() && out_.empty() && releases_.empty() && !probe_; }
-  // Since when the oldest connection without set-ups is open, seconds of the steady clock; nothing: there is
-  // none.
+  // Opens one more connection, unless one is being established, to find out whether the host responds.
+  void try_connect();
+  // Called ten times a second: closes connections with incomplete messages and those no longer needed, and
+  // repeats releases.
+  void maintain();
+  // Returns whether a release has not yet been written to an established connection.
+  bool has_unwritten_releases() const;
+  bool is_unused() const {
+    return connections_.empty() && pending_set_ups_.empty() && releases_.empty() && !probe_session_;
+  }
+  // Returns the steady-clock time at which the oldest idle connection was established, or nothing when no
+  // established connection is free of set-ups.
   std::optional<double> oldest_idle_since() const;
-  void close_oldest_idle(); // closes that one; its end is said as no_room
-  void close_all();         // closes all; each set-up and connection is said to have ended
-  void shut_down();         // closes all; no event comes any more, whatever is still under way
+  // Closes that connection and reports its end as no_capacity.
+  void close_oldest_idle();
+  // Closes every connection and reports the end of each connection and set-up.
+  void close_all();
+  // Closes every connection. No event is raised afterwards.
+  void shut_down();
 
  private:
-  struct Link;
-  struct Out {
-    std::weak_ptr<Link> link;
+  struct Connection;
+  struct PendingSetUp {
+    std::weak_ptr<Connection> connection;
     std::unique_ptr<asio::steady_timer> timer;
-    double sent = 0;
-    std::uint64_t number = 0; // a session may be set up here again: its old timer is not the new one's
+    double sent_at = 0;
+    // Distinguishes this set-up from an earlier one of the same session, whose timer may still fire.
+    std::uint64_t number = 0;
   };
-  struct Release { // not known to be heard
+  // A release that the server may not have received yet.
+  struct Release {
     std::uint64_t session = 0;
     int cause = 0;
-    double since = 0, said = 0;
-    std::weak_ptr<Link> on; // expired: still to be said
+    double requested_at = 0, sent_at = 0;
+    // The connection that carried it; expired when it has to be sent.
+    std::weak_ptr<Connection> connection;
   };
   enum class State { connecting, open, closed };
-  void become(Link &link, State next);
-  std::shared_ptr<Link> choose(bool for_set_up);
-  std::shared_ptr<Link> oldest_idle() const; // of those that are up
-  std::shared_ptr<Link> connect();
-  void say(const std::shared_ptr<Link> &link, std::uint64_t session, std::string text);
-  void write(const std::shared_ptr<Link> &link);
-  void read(const std::shared_ptr<Link> &link);
-  void on(const std::shared_ptr<Link> &link, const Message &message);
-  void end(const std::shared_ptr<Link> &link, EndReason how);
-  void set_up_over(std::uint64_t session, EndReason how, const Message *message);
-  void retire(const std::shared_ptr<Link> &link);
-  void say_releases();
+  void set_state(Connection &connection, State next);
+  std::shared_ptr<Connection> choose_connection(bool for_set_up);
+  // Considers established connections only.
+  std::shared_ptr<Connection> oldest_idle() const;
+  std::shared_ptr<Connection> connect();
+  void send(const std::shared_ptr<Connection> &connection, std::uint64_t session, std::string text);
+  void write(const std::shared_ptr<Connection> &connection);
+  void read(const std::shared_ptr<Connection> &connection);
+  void handle_message(const std::shared_ptr<Connection> &connection, const Message &message);
+  void close(const std::shared_ptr<Connection> &connection, EndReason reason);
+  void finish_set_up(std::uint64_t session, EndReason reason, const Message *message);
+  void retire(const std::shared_ptr<Connection> &connection);
+  void send_releases();
 
   asio::io_context &io_;
   asio::ip::tcp::endpoint at_;
-  const Timeouts &times_;
+  const Timeouts &timeouts_;
   const Limits &limits_;
   PeerCounters &counters_;
-  std::uint64_t next_probe_;
+  std::uint64_t next_probe_session_;
   Events events_;
-  std::list<std::shared_ptr<Link>> links_;
-  std::unordered_map<std::uint64_t, Out> out_;
-  std::uint64_t set_ups_ = 0;
+  std::list<std::shared_ptr<Connection>> connections_;
+  std::unordered_map<std::uint64_t, PendingSetUp> pending_set_ups_;
+  std::uint64_t set_up_count_ = 0;
   std::deque<Release> releases_;
-  std::array<std::uint64_t, 64> given_up_{}; // the last ones: their late answers are released
+  // The sessions given up most recently; a late successful answer to one of them is released.
+  std::array<std::uint64_t, 64> given_up_{};
   std::size_t given_up_at_ = 0;
-  std::uint64_t probe_ = 0; // the session of the test that is out, 0: none
+  // The session of the outstanding probe, or 0.
+  std::uint64_t probe_session_ = 0;
   asio::steady_timer probe_timer_;
+  // Callbacks hold a weak reference to detect that the peer was shut down.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
