--- a/src/wirehost/wire_codec.cpp
+++ b/src/wirehost/wire_codec.cpp
@@ -1,3 +1,4 @@
+// Parses lines of the form NAME<tab>field=value<tab>... and writes numbers.
 #include "wirehost/wire_codec.h"
 #include "given/translate.h"
 
@@ -8,39 +9,41 @@
 namespace snowshore {
 
 namespace {
-WireError bad(std::string_view what, std::string_view text) {
-  return WireError("field " + std::string(what) + " has an unusable value '" +
+WireError invalid_value(std::string_view field, std::string_view text) {
+  return WireError("field " + std::string(field) + " has an invalid value '" +
                    std::string(text.substr(0, 40)) + "'");
 }
 } // namespace
 
-double read_number(std::string_view text, std::string_view what) {
+double read_number(std::string_view text, std::string_view field) {
   auto value = given::parse_number(text);
-  if (!value) throw bad(what, text);
+  if (!value) throw invalid_value(field, text);
   return *value;
 }
 
-std::uint64_t read_whole(std::string_view text, std::string_view what) {
+std::uint64_t read_whole_number(std::string_view text, std::string_view field) {
   std::uint64_t value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc() && end == text.data() + text.size()) return value;
-  double wide = read_number(text, what); // a whole number may be written with a fraction of zero
-  if (wide < 0 || wide >= 9.2e18 || wide != std::floor(wide)) throw bad(what, text);
-  return static_cast<std::uint64_t>(wide);
+  // A whole number may be written with a fraction of zero. The limit is a little less than 2 to the 63rd.
+  double real = read_number(text, field);
+  if (real < 0 || real >= 9.2e18 || real != std::floor(real)) throw invalid_value(field, text);
+  return static_cast<std::uint64_t>(real);
 }
 
 void WireLine::parse(std::string_view text) {
   fields_.clear();
-  std::size_t at = text.find('\t');
-  name_ = text.substr(0, at);
-  while (at != std::string_view::npos) {
-    std::size_t next = text.find('\t', at + 1);
-    std::string_view part = text.substr(at + 1, next == std::string_view::npos ? next : next - at - 1);
-    at = next;
+  std::size_t tab = text.find('\t');
+  name_ = text.substr(0, tab);
+  while (tab != std::string_view::npos) {
+    std::size_t next_tab = text.find('\t', tab + 1);
+    std::string_view part =
+        text.substr(tab + 1, next_tab == std::string_view::npos ? next_tab : next_tab - tab - 1);
+    tab = next_tab;
     if (part.empty()) continue;
     std::size_t equals = part.find('=');
     if (equals == std::string_view::npos || equals == 0)
-      throw WireError("'" + std::string(part) + "' is no name=value pair");
+      throw WireError("'" + std::string(part) + "' is not a name=value pair");
     fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
   }
 }
@@ -60,28 +63,31 @@
 
 double WireLine::number(std::string_view field) const { return read_number(text(field), field); }
 
-std::optional<double> WireLine::number_if(std::string_view field) const {
+std::optional<double> WireLine::optional_number(std::string_view field) const {
   auto value = find(field);
   if (!value || value->empty()) return std::nullopt;
   return read_number(*value, field);
 }
 
-std::uint64_t WireLine::whole(std::string_view field) const { return read_whole(text(field), field); }
+std::uint64_t WireLine::whole_number(std::string_view field) const {
+  return read_whole_number(text(field), field);
+}
 
-std::uint64_t WireLine::whole_or(std::string_view field, std::uint64_t fallback) const {
+std::uint64_t WireLine::whole_number_or(std::string_view field, std::uint64_t fallback) const {
   auto value = find(field);
-  return value && !value->empty() ? read_whole(*value, field) : fallback;
+  return value && !value->empty() ? read_whole_number(*value, field) : fallback;
 }
 
-int WireLine::small(std::string_view field) const {
-  std::uint64_t value = whole(field);
-  if (value > static_cast<std::uint64_t>(std::numeric_limits<int>::max())) throw bad(field, text(field));
+int WireLine::integer(std::string_view field) const {
+  std::uint64_t value = whole_number(field);
+  if (value > static_cast<std::uint64_t>(std::numeric_limits<int>::max()))
+    throw invalid_value(field, text(field));
   return static_cast<int>(value);
 }
 
-int WireLine::small_or(std::string_view field, int fallback) const {
+int WireLine::integer_or(std::string_view field, int fallback) const {
   auto value = find(field);
-  return value && !value->empty() ? small(field) : fallback;
+  return value && !value->empty() ? integer(field) : fallback;
 }
 
 bool WireLine::flag_or(std::string_view field, bool fallback) const {
@@ -89,18 +95,18 @@
   if (!value || value->empty()) return fallback;
   if (*value == "1" || *value == "true") return true;
   if (*value == "0" || *value == "false") return false;
-  throw bad(field, *value);
+  throw invalid_value(field, *value);
 }
 
-void append(std::string &out, double value) {
+void append(std::string &output, double value) {
   char buffer[64];
   auto [end, error] = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 6);
-  out.append(buffer, error == std::errc() ? end : buffer);
+  output.append(buffer, error == std::errc() ? end : buffer);
 }
 
-void append(std::string &out, std::int64_t value) {
+void append(std::string &output, std::int64_t value) {
   char buffer[24];
-  out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, value).ptr);
+  output.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, value).ptr);
 }
 
 } // namespace snowshore
