--- a/src/given/hex_id.h
+++ b/src/given/hex_id.h
@@ -19,6 +19,7 @@
   return value;
 }
 
+// Formats the id with leading zeros.
 inline std::string format_hex16(std::uint64_t value) {
   std::string out(16, '0');
   for (std::size_t i = 16; i-- > 0; value >>= 4) out[i] = "0123456789abcdef"[value & 15];
--- a/src/given/translate.cpp
+++ b/src/given/translate.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-struct Name {
-  std::string_view wire, plain;
+struct NameMapping {
+  std::string_view platform_name, engine_name;
 };
 
-// What the wire calls a setting and what the module calls it; names not listed pass under the wire's own.
-constexpr Name kSettingNames[] = {
+// The platform's name of each setting and the engine's; a setting that is not listed keeps its name.
+constexpr NameMapping kSettingNames[] = {
     {"group_size", given::kFronts},
     {"index", given::kFrontIndex},
     {"my_zone", given::kHall},
@@ -64,22 +64,24 @@
     {"rules.answer_slack", given::kAnswerSlack},
 };
 
-constexpr Name kProductNames[] = {
+// Settings of one product.
+constexpr NameMapping kProductNames[] = {
     {"on_time", given::kFirstFrameTarget}, {"deadline", given::kTimeLimit}, {"worth", given::kImportance},
     {"effect", given::kSetUpMode},         {"name", given::kName},
 };
 
-constexpr std::pair<Name, std::optional<double> LoadReport::*> kLoadNames[] = {
+// Fields of a load report.
+constexpr std::pair<NameMapping, std::optional<double> LoadReport::*> kLoadNames[] = {
     {{"active", given::kStreams}, &LoadReport::streams},
     {{"cpu", given::kLinkShare}, &LoadReport::link_share},
     {{"x0", given::kLink}, &LoadReport::link_demand},
     {{"x1", given::kUplink}, &LoadReport::uplink_demand}};
 
-std::string plain_name(std::span<const Name> names, std::string_view wire) {
-  for (const Name &name : names) {
-    if (name.wire == wire) return std::string(name.plain);
+std::string find_engine_name(std::span<const NameMapping> mappings, std::string_view platform_name) {
+  for (const NameMapping &mapping : mappings) {
+    if (mapping.platform_name == platform_name) return std::string(mapping.engine_name);
   }
-  return std::string(wire);
+  return std::string(platform_name);
 }
 
 } // namespace
@@ -87,47 +89,48 @@
 DecisionSettings translate_settings(std::span<const SettingField> fields) {
   DecisionSettings out;
   for (const auto &[name, value] : fields) {
-    std::string_view rest = name;
-    std::string plain;
+    std::string_view suffix = name;
+    std::string engine_name;
     if (name.starts_with("classes.") && name != "classes.count") {
-      rest.remove_prefix(8);
-      std::size_t dot = rest.find('.');
+      suffix.remove_prefix(8);
+      std::size_t dot = suffix.find('.');
       if (dot == std::string_view::npos) continue;
-      plain =
-          "product." + std::string(rest.substr(0, dot + 1)) + plain_name(kProductNames, rest.substr(dot + 1));
+      engine_name = "product." + std::string(suffix.substr(0, dot + 1)) +
+                    find_engine_name(kProductNames, suffix.substr(dot + 1));
     } else {
-      plain = plain_name(kSettingNames, name);
+      engine_name = find_engine_name(kSettingNames, name);
     }
     if (name == "report.names") {
-      std::string words;
-      for_each_part(value, ',', [&](std::string_view word) {
-        if (!words.empty()) words += ',';
-        auto known = std::ranges::find(kLoadNames, word, [](const auto &one) { return one.first.wire; });
-        words += known == std::end(kLoadNames) ? word : known->first.plain;
+      std::string engine_names;
+      for_each_part(value, ',', [&](std::string_view item) {
+        if (!engine_names.empty()) engine_names += ',';
+        auto mapping =
+            std::ranges::find(kLoadNames, item, [](const auto &entry) { return entry.first.platform_name; });
+        engine_names += mapping == std::end(kLoadNames) ? item : mapping->first.engine_name;
       });
-      out[plain] = words;
+      out[engine_name] = engine_names;
     } else {
-      out[plain] = std::string(value);
+      out[engine_name] = std::string(value);
     }
   }
   return out;
 }
 
-std::string_view parse_load_report(std::string_view text, char mark, LoadReport &report) {
-  std::string_view bad;
-  for_each_part(text, mark, [&](std::string_view pair) {
+std::string_view parse_load_report(std::string_view text, char separator, LoadReport &report) {
+  std::string_view first_invalid;
+  for_each_part(text, separator, [&](std::string_view pair) {
     std::size_t colon = pair.find(':');
     std::string_view value = colon == std::string_view::npos ? "" : pair.substr(colon + 1);
     auto number = parse_number(value);
     if (colon == std::string_view::npos || (!value.empty() && !number)) {
-      if (bad.empty()) bad = pair.empty() ? std::string_view("an empty part") : pair;
+      if (first_invalid.empty()) first_invalid = pair.empty() ? std::string_view("an empty part") : pair;
       return;
     }
-    for (const auto &[name, part] : kLoadNames) {
-      if (number && name.wire == pair.substr(0, colon)) report.*part = number;
+    for (const auto &[name, field] : kLoadNames) {
+      if (number && name.platform_name == pair.substr(0, colon)) report.*field = number;
     }
   });
-  return bad;
+  return first_invalid;
 }
 
 } // namespace snowshore::given
--- a/src/given/translate.h
+++ b/src/given/translate.h
@@ -17,16 +17,16 @@
 // A dotted name and its value; the items of a list are separated by commas.
 using SettingField = std::pair<std::string_view, std::string_view>;
 
-// Returns the engine's settings; fields with other names are left out.
+// Returns the engine's settings. A field for which the engine has no other name keeps its own.
 DecisionSettings translate_settings(std::span<const SettingField> fields);
 
-// Calls f with each part of a list whose parts are separated by `mark`.
-template <class F> void for_each_part(std::string_view list, char mark, F f) {
+// Calls `call` with each part of a list whose parts are separated by `separator`.
+template <class Function> void for_each_part(std::string_view list, char separator, Function call) {
   while (!list.empty()) {
-    std::size_t at = list.find(mark);
-    f(list.substr(0, at));
-    if (at == std::string_view::npos) return;
-    list.remove_prefix(at + 1);
+    std::size_t end = list.find(separator);
+    call(list.substr(0, end));
+    if (end == std::string_view::npos) return;
+    list.remove_prefix(end + 1);
   }
 }
 
@@ -38,8 +38,8 @@
   return value;
 }
 
-// Reads name:value pairs that are separated by `mark` into the report, and skips unknown names. Returns the
-// first part that is not such a pair; an empty result means that all parts were read.
-std::string_view parse_load_report(std::string_view text, char mark, LoadReport &report);
+// Reads name:value pairs that are separated by `separator` into the report, and skips unknown names. Returns
+// the first part that is not such a pair; an empty result means that all parts were read.
+std::string_view parse_load_report(std::string_view text, char separator, LoadReport &report);
 
 } // namespace snowshore::given
