--- a/cmake/front.cmake
+++ b/cmake/front.cmake
@@ -32,8 +32,8 @@
 add_library(snowshore_serverwire STATIC src/serverwire/protocol.cpp)
 target_link_libraries(snowshore_serverwire PUBLIC snowshore_http PRIVATE nlohmann_json::nlohmann_json)
 
-add_library(snowshore_site STATIC src/site/front_record.cpp)
-target_link_libraries(snowshore_site PUBLIC snowshore_decision snowshore_records snowshore_http)
+add_library(snowshore_config STATIC src/config/front_config.cpp)
+target_link_libraries(snowshore_config PUBLIC snowshore_decision snowshore_records snowshore_http)
 
 add_library(snowshore_registry STATIC src/registry/server_registry.cpp)
 target_include_directories(snowshore_registry SYSTEM PUBLIC ${ASIO_INCLUDE})
@@ -41,8 +41,8 @@
 target_link_libraries(snowshore_registry PUBLIC snowshore_decision)
 
 add_library(snowshore_edge STATIC src/edge/list_source.cpp src/edge/channel.cpp
-            src/edge/plays.cpp src/edge/send_guard.cpp src/edge/core.cpp src/edge/edge.cpp src/edge/change.cpp src/edge/serve.cpp)
-target_link_libraries(snowshore_edge PUBLIC snowshore_registry snowshore_site snowshore_hints snowshore_telemetry snowshore_serverwire PRIVATE PkgConfig::XXHASH)
+            src/edge/play_table.cpp src/edge/send_guard.cpp src/edge/core.cpp src/edge/edge.cpp src/edge/config_change.cpp src/edge/serve.cpp)
+target_link_libraries(snowshore_edge PUBLIC snowshore_registry snowshore_config snowshore_hints snowshore_telemetry snowshore_serverwire PRIVATE PkgConfig::XXHASH)
 
 add_library(snowshore_jsonlines STATIC src/jsonlines/message.cpp src/jsonlines/server.cpp)
 target_link_libraries(snowshore_jsonlines PUBLIC snowshore_http PRIVATE nlohmann_json::nlohmann_json)
@@ -50,22 +50,22 @@
 add_library(snowshore_rtsp STATIC src/rtsp/message.cpp src/rtsp/peer.cpp)
 target_link_libraries(snowshore_rtsp PUBLIC snowshore_http)
 
-add_library(snowshore_feed STATIC src/feed/frames.cpp src/feed/client.cpp)
-target_link_libraries(snowshore_feed PUBLIC snowshore_edge)
+add_library(snowshore_discovery STATIC src/discovery/frames.cpp src/discovery/client.cpp)
+target_link_libraries(snowshore_discovery PUBLIC snowshore_edge)
 
-add_library(snowshore_platform STATIC src/platform/boot.cpp src/platform/liveness.cpp src/platform/ends.cpp
-            src/platform/viewers.cpp src/platform/servers.cpp src/platform/front.cpp src/platform/run.cpp)
-target_link_libraries(snowshore_platform PUBLIC snowshore_given snowshore_edge snowshore_jsonlines snowshore_rtsp
-                      snowshore_feed)
+add_library(snowshore_platform STATIC src/platform/node_config.cpp src/platform/liveness.cpp src/platform/outcome_mapping.cpp
+            src/platform/viewer_gateway.cpp src/platform/rtsp_server_gateway.cpp src/platform/front.cpp src/platform/run.cpp)
+target_link_libraries(snowshore_platform PUBLIC snowshore_settings snowshore_edge snowshore_jsonlines snowshore_rtsp
+                      snowshore_discovery)
 
 if(SNOWSHORE_MANAGEMENT)
   include(cmake/management.cmake)
-  set(beside src/program/managed.cpp)
+  set(beside src/program/with_management.cpp)
   set(commands src/cli/manage.cpp)
   set(beside_libraries snowshore_management)
 else()
-  set(beside src/program/unmanaged.cpp)
-  set(commands src/cli/unmanaged.cpp)
+  set(beside src/program/without_management.cpp)
+  set(commands src/cli/without_management.cpp)
 endif()
 
 add_library(snowshore_front_program STATIC src/program/run.cpp ${beside})
--- a/cmake/management.cmake
+++ b/cmake/management.cmake
@@ -32,8 +32,8 @@
 target_link_libraries(snowshore_proto PUBLIC protobuf::libprotobuf PkgConfig::GRPC)
 target_compile_options(snowshore_proto PRIVATE -w)
 
-add_library(snowshore_management STATIC src/management/manager.cpp src/management/follower.cpp
-            src/management/access.cpp src/management/wire.cpp src/management/service.cpp src/management/client.cpp)
-target_link_libraries(snowshore_management PUBLIC snowshore_transaction snowshore_model snowshore_store snowshore_site snowshore_telemetry
+add_library(snowshore_management STATIC src/management/manager.cpp src/management/subscription_tracker.cpp
+            src/management/access.cpp src/management/gnmi_codec.cpp src/management/service.cpp src/management/client.cpp)
+target_link_libraries(snowshore_management PUBLIC snowshore_transaction snowshore_model snowshore_store snowshore_config snowshore_telemetry
                       snowshore_proto PRIVATE PkgConfig::OPENSSL)
 
--- a/cmake/soak.cmake
+++ b/cmake/soak.cmake
@@ -1,5 +1,5 @@
 # The fault soak: stand-ins and oracle, and the library that its front ends are started with.
-add_library(snowshore_soak STATIC src/soak/scenario.cpp src/soak/wire.cpp src/soak/rtsp_text.cpp src/soak/ledger.cpp
+add_library(snowshore_soak STATIC src/soak/scenario.cpp src/soak/faulty_stream.cpp src/soak/rtsp_text.cpp src/soak/ledger.cpp
             src/soak/servers.cpp src/soak/clients.cpp src/soak/discovery.cpp src/soak/front_process.cpp
             src/soak/fleet.cpp src/soak/soak.cpp)
 target_include_directories(snowshore_soak PUBLIC src)
--- a/src/cli/manage.cpp
+++ b/src/cli/manage.cpp
@@ -1,6 +1,6 @@
 #include "cli/manage.h"
+#include "config/front_config.h"
 #include "management/client.h"
-#include "site/front_record.h"
 #include "store/store.h"
 
 #include <CLI/CLI.hpp>
@@ -159,7 +159,7 @@
   if (running.size() != 1) throw std::runtime_error("the front returned no configuration");
   std::string document = model.validate(Json{{"snowshore:front", running[0].value}}.dump());
   return diff_documents(model, document,
-                        model.to_document(site::load_front_config(command_line.files).record));
+                        model.to_document(config::load_front_config(command_line.files).record));
 }
 
 void print_history(std::uint64_t revision, double at, const std::string &user, const std::string &cause,
--- a/src/cli/snowshore.cpp
+++ b/src/cli/snowshore.cpp
@@ -58,7 +58,7 @@
   if (*edge) return program::run_edge(files, SNOWSHORE_VERSION);
   if (int code = cli::run_management_command(app); code >= 0) return code;
   try {
-    site::FrontConfig record = site::load_front_config(files);
+    config::FrontConfig record = config::load_front_config(files);
     if (show)
       std::cout << record.settled_text << "\n";
     else
--- a/src/cli/snowshore_lab.cpp
+++ b/src/cli/snowshore_lab.cpp
@@ -1,10 +1,10 @@
 // The program snowshore-lab: runs and judges days against simulated servers and players, measures load,
 // exercises management, and runs the soak test.
 #include "cli/soak.h"
-#include "lab/first_holder.h"
+#include "lab/baseline_engine.h"
 #include "lab/judge.h"
-#include "lab/load.h"
-#include "lab/manage.h"
+#include "lab/load_test.h"
+#include "lab/management_load.h"
 #include "lab/run_day.h"
 #include "program/run.h"
 
--- a/src/site/front_record.cpp
+++ b/src/config/front_config.cpp
@@ -1,11 +1,11 @@
 // The schema of the front end's records, its consistency checks, and the reading of checked values.
-#include "site/front_record.h"
-#include "decision/names.h"
+#include "config/front_config.h"
+#include "decision/setting_names.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace snowshore::site {
+namespace snowshore::config {
 
 namespace {
 
@@ -277,58 +277,61 @@
   Record fleet = front.at("fleet"), load = front.at("load"), rules = front.at("rules"),
          allocations = front.at("allocations"), further = allocations.at("further");
   auto products = front.items("products"), rungs = front.items("rungs");
-  put_number(given::kFronts, front.number("fronts"));
-  put_number(given::kFrontIndex, front.number("index"));
-  put(given::kHall, front.text("hall"));
-  put_list(given::kHalls, fleet.items("halls"), [](const Record &item) { return item.as_text(); });
-  put_list(given::kKinds, fleet.items("kinds"), [](const Record &item) { return item.text("name"); });
-  put_list(given::kKindCapacities, fleet.items("kinds"),
+  put_number(setting_names::kFronts, front.number("fronts"));
+  put_number(setting_names::kFrontIndex, front.number("index"));
+  put(setting_names::kHall, front.text("hall"));
+  put_list(setting_names::kHalls, fleet.items("halls"), [](const Record &item) { return item.as_text(); });
+  put_list(setting_names::kKinds, fleet.items("kinds"), [](const Record &item) { return item.text("name"); });
+  put_list(setting_names::kKindCapacities, fleet.items("kinds"),
            [](const Record &item) { return format_shortest(item.number("places")); });
-  put_number(given::kCells, fleet.number("cells"));
-  put_number(given::kRacks, fleet.number("racks"));
-  put_number(given::kLinkPerWeight, fleet.rate("link_per_weight"));
-  put_number(given::kRackUplink, fleet.rate("rack_uplink"));
-  put(given::kWeightMeaning, fleet.text("weight_meaning"));
-  put_number(given::kServerFullFrom, fleet.number("full_from"));
-  put(given::kListMode, "pushed");
-  put_number(given::kProducts, static_cast<double>(products.size()));
+  put_number(setting_names::kCells, fleet.number("cells"));
+  put_number(setting_names::kRacks, fleet.number("racks"));
+  put_number(setting_names::kLinkPerWeight, fleet.rate("link_per_weight"));
+  put_number(setting_names::kRackUplink, fleet.rate("rack_uplink"));
+  put(setting_names::kWeightMeaning, fleet.text("weight_meaning"));
+  put_number(setting_names::kServerFullFrom, fleet.number("full_from"));
+  put(setting_names::kListMode, "pushed");
+  put_number(setting_names::kProducts, static_cast<double>(products.size()));
   auto of_product = [](const char *name) {
     return [name](const Record &item) { return format_shortest(item.number(name)); };
   };
-  put_list(given::kProductFloors, products, of_product("floor"));
-  put_list(given::kProductTops, products, of_product("top"));
-  put_list(given::kProductSeats, products, of_product("seats"));
-  put_list(given::kProductRateFactors, products, of_product("rate_factor"));
-  put_list(given::kRungRates, rungs, [](const Record &item) { return format_shortest(item.rate("rate")); });
-  put_list(given::kRungImportance, rungs, of_product("importance"));
+  put_list(setting_names::kProductFloors, products, of_product("floor"));
+  put_list(setting_names::kProductTops, products, of_product("top"));
+  put_list(setting_names::kProductSeats, products, of_product("seats"));
+  put_list(setting_names::kProductRateFactors, products, of_product("rate_factor"));
+  put_list(setting_names::kRungRates, rungs,
+           [](const Record &item) { return format_shortest(item.rate("rate")); });
+  put_list(setting_names::kRungImportance, rungs, of_product("importance"));
   for (std::size_t index = 0; index < products.size(); ++index) {
-    settings[given::product_setting_name(index, given::kName)] = products[index].text("name");
-    settings[given::product_setting_name(index, given::kFirstFrameTarget)] =
+    settings[setting_names::product_setting_name(index, setting_names::kName)] = products[index].text("name");
+    settings[setting_names::product_setting_name(index, setting_names::kFirstFrameTarget)] =
         format_shortest(products[index].seconds("first_frame_target"));
-    settings[given::product_setting_name(index, given::kTimeLimit)] =
+    settings[setting_names::product_setting_name(index, setting_names::kTimeLimit)] =
         format_shortest(products[index].seconds("time_limit"));
-    settings[given::product_setting_name(index, given::kImportance)] =
+    settings[setting_names::product_setting_name(index, setting_names::kImportance)] =
         format_shortest(products[index].number("importance"));
-    settings[given::product_setting_name(index, given::kSetUpMode)] = products[index].text("set_up");
+    settings[setting_names::product_setting_name(index, setting_names::kSetUpMode)] =
+        products[index].text("set_up");
   }
-  put(given::kLoadReportSource, load.text("comes_with"));
-  put_list(given::kLoadFields, load.items("fields"), [](const Record &item) { return item.as_text(); });
-  put_number(given::kMayProbe, load.boolean("may_probe"));
-  put_number(given::kMayRecall, 1);
-  put_number(given::kMayAdviseReturn, 1);
-  put_number(given::kFeedbackDelay, load.seconds("note_delay"));
-  put_number(given::kLinkFeedbackInterval, load.seconds("note_interval"));
-  put_number(given::kAllocationsPerPlay, allocations.number("per_play"));
-  put_number(given::kRetryWindow, further.seconds("span"));
-  put_number(given::kFreeRetries, further.number("free"));
-  put_number(given::kRetryShare, further.number("share"));
-  put_number(given::kWarmUp, rules.seconds("warm_up"));
-  put_number(given::kColdShare, rules.number("cold_share"));
-  put_number(given::kColdOverloadMultiple, rules.number("fall_multiple"));
-  put_number(given::kColdOverloadWindow, rules.seconds("fall_span"));
-  put_number(given::kDrainGrace, rules.seconds("drain_grace"));
-  put_number(given::kAnswerSlack, rules.seconds("answer_slack"));
-  put_number(given::kLongestRetryAfter, front.seconds("retry_after"));
+  put(setting_names::kLoadReportSource, load.text("comes_with"));
+  put_list(setting_names::kLoadFields, load.items("fields"),
+           [](const Record &item) { return item.as_text(); });
+  put_number(setting_names::kMayProbe, load.boolean("may_probe"));
+  put_number(setting_names::kMayRecall, 1);
+  put_number(setting_names::kMayAdviseReturn, 1);
+  put_number(setting_names::kFeedbackDelay, load.seconds("note_delay"));
+  put_number(setting_names::kLinkFeedbackInterval, load.seconds("note_interval"));
+  put_number(setting_names::kAllocationsPerPlay, allocations.number("per_play"));
+  put_number(setting_names::kRetryWindow, further.seconds("span"));
+  put_number(setting_names::kFreeRetries, further.number("free"));
+  put_number(setting_names::kRetryShare, further.number("share"));
+  put_number(setting_names::kWarmUp, rules.seconds("warm_up"));
+  put_number(setting_names::kColdShare, rules.number("cold_share"));
+  put_number(setting_names::kColdOverloadMultiple, rules.number("fall_multiple"));
+  put_number(setting_names::kColdOverloadWindow, rules.seconds("fall_span"));
+  put_number(setting_names::kDrainGrace, rules.seconds("drain_grace"));
+  put_number(setting_names::kAnswerSlack, rules.seconds("answer_slack"));
+  put_number(setting_names::kLongestRetryAfter, front.seconds("retry_after"));
   return settings;
 }
 
@@ -402,4 +405,4 @@
   return parse_front_config(files);
 }
 
-} // namespace snowshore::site
+} // namespace snowshore::config
--- a/src/site/front_record.h
+++ b/src/config/front_config.h
@@ -1,6 +1,6 @@
 // The configuration record of the HTTP front end: its schema, and the values that each part of the front end
-// reads from it. The decision engine gets its settings under its own names (decision/names.h); a setting that
-// it needs and the record lacks is an error at start, which names the setting.
+// reads from it. The decision engine gets its settings under its own names (decision/setting_names.h); a
+// setting that it needs and the record lacks is an error at start, which names the setting.
 #pragma once
 #include "decision/policy.h"
 #include "http/client.h"
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace snowshore::site {
+namespace snowshore::config {
 
 // The schema, which defines #Front, #List and #Catalogue.
 const records::Source &front_schema();
@@ -95,4 +95,4 @@
 // Parses "127.0.0.1:80" or "[::1]:80". Throws std::invalid_argument.
 http::Endpoint parse_endpoint(const std::string &text);
 
-} // namespace snowshore::site
+} // namespace snowshore::config
--- a/src/site/front_state.h
+++ b/src/config/front_snapshot.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace snowshore::site {
+namespace snowshore::config {
 
 struct FrontSnapshot {
   // One listed server, and what the decision engine knows of it.
@@ -27,4 +27,4 @@
   std::vector<ServerState> servers;
 };
 
-} // namespace snowshore::site
+} // namespace snowshore::config
--- a/src/decision/policy.cpp
+++ b/src/decision/policy.cpp
@@ -3,9 +3,9 @@
 // returns. place_play() is the path of an ordinary play; the other functions maintain what it reads. "Own"
 // plays, demands and set-ups are those of this front end; other front ends use the same servers.
 #include "decision/policy.h"
-#include "decision/given_reader.h"
 #include "decision/overrun_bound.h"
 #include "decision/retry_budget.h"
+#include "decision/settings_reader.h"
 #include "decision/slow_start.h"
 #include "decision/sorted_indices.h"
 
--- a/src/decision/policy.h
+++ b/src/decision/policy.h
@@ -18,7 +18,7 @@
 
 namespace snowshore {
 
-// The engine's settings: values by name. names.h declares the names.
+// The engine's settings: values by name. setting_names.h declares the names.
 using DecisionSettings = std::map<std::string, std::string, std::less<>>;
 
 // A server's membership: `leaving` servers get no new plays, `left` servers are out of service for good.
--- a/src/decision/names.h
+++ b/src/decision/setting_names.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace snowshore::given {
+namespace snowshore::setting_names {
 
 // Settings of the whole engine.
 inline constexpr const char *kFronts = "fronts", *kFrontIndex = "front_index", *kHall = "hall",
@@ -51,4 +51,4 @@
                                                      "unreachable", "reset", "recalled", "skipped"};
 inline std::string_view name_of(Outcome outcome) { return kOutcomeNames[static_cast<int>(outcome)]; }
 
-} // namespace snowshore::given
+} // namespace snowshore::setting_names
--- a/src/decision/given_reader.h
+++ b/src/decision/settings_reader.h
@@ -1,4 +1,4 @@
-// Reads values of the decision engine's settings by name; names.h declares the names.
+// Reads values of the decision engine's settings by name; setting_names.h declares the names.
 #pragma once
 #include "decision/policy.h"
 
--- a/src/feed/client.cpp
+++ b/src/discovery/client.cpp
@@ -1,10 +1,10 @@
-#include "feed/client.h"
+#include "discovery/client.h"
 #include "telemetry/loop_clock.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace snowshore::feed {
+namespace snowshore::discovery {
 
 using telemetry::steady_seconds;
 using telemetry::to_timer_duration;
@@ -182,4 +182,4 @@
   });
 }
 
-} // namespace snowshore::feed
+} // namespace snowshore::discovery
--- a/src/feed/client.h
+++ b/src/discovery/client.h
@@ -2,15 +2,15 @@
 // number of the last event that it has, and receives later events. It reconnects after a disconnection, a
 // silence or a refused connection. Each event is applied once.
 #pragma once
+#include "discovery/frames.h"
 #include "edge/backoff.h"
-#include "feed/frames.h"
 #include "telemetry/log.h"
 
 #include <asio.hpp>
 
 #include <memory>
 
-namespace snowshore::feed {
+namespace snowshore::discovery {
 
 struct Counters {
   // repeated: events that were applied before. refused: connections that could not be established.
@@ -75,4 +75,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-} // namespace snowshore::feed
+} // namespace snowshore::discovery
--- a/src/feed/frames.cpp
+++ b/src/discovery/frames.cpp
@@ -1,12 +1,12 @@
-#include "feed/frames.h"
-#include "site/front_record.h"
+#include "discovery/frames.h"
+#include "config/front_config.h"
 
 #include <nlohmann/json.hpp>
 
 #include <charconv>
 #include <stdexcept>
 
-namespace snowshore::feed {
+namespace snowshore::discovery {
 
 namespace {
 
@@ -125,7 +125,7 @@
     server.stable_id = *id;
     std::string address = text(target, "endpoint", target_path);
     try {
-      server.address = site::parse_endpoint(address);
+      server.address = config::parse_endpoint(address);
     } catch (const std::invalid_argument &) {
       // The port stays 0, which is reported below.
     }
@@ -169,4 +169,4 @@
   return out;
 }
 
-} // namespace snowshore::feed
+} // namespace snowshore::discovery
--- a/src/feed/frames.h
+++ b/src/discovery/frames.h
@@ -1,5 +1,5 @@
 // The events of the command channel, which carry the server list: numbered, as binary frames on the channel
-// and as JSON in the configuration. Values only; the sockets are in feed/client.h.
+// and as JSON in the configuration. Values only; the sockets are in discovery/client.h.
 //
 //   frame  = length:4 number:8 kind:1 payload      length counts all bytes after itself
 //   kind 0 = no change; 1 = the full list, 2 = changes: records of 27 bytes
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-namespace snowshore::feed {
+namespace snowshore::discovery {
 
 // The longest frame that is accepted; it holds about 38,000 servers.
 inline constexpr std::size_t kMaxFrameBytes = 1024 * 1024;
@@ -98,4 +98,4 @@
   std::map<std::string, edge::ListedServer> servers_;
 };
 
-} // namespace snowshore::feed
+} // namespace snowshore::discovery
--- a/src/edge/channel.h
+++ b/src/edge/channel.h
@@ -3,7 +3,7 @@
 // report on at once. All of it runs on the core's executor, and no callback is made during a call.
 #pragma once
 #include "edge/backoff.h"
-#include "edge/doors.h"
+#include "edge/gateways.h"
 #include "http/client.h"
 #include "serverwire/protocol.h"
 
--- a/src/edge/change.cpp
+++ b/src/edge/config_change.cpp
@@ -94,8 +94,8 @@
   log_.set_level(telemetry::parse_log_level(config_.log_level));
 }
 
-site::FrontSnapshot Edge::state() {
-  site::FrontSnapshot snapshot;
+config::FrontSnapshot Edge::state() {
+  config::FrontSnapshot snapshot;
   snapshot.boot = identity_.boot_id;
   snapshot.uptime = core_.clock().now() - started_at_;
   snapshot.service = service_state() == ServiceState::starting                          ? "starting"
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -1,8 +1,8 @@
 // The core: engine calls with their clock and timers, the life of a play, time limits and list updates.
 #include "edge/core.h"
-#include "decision/given_reader.h"
-#include "decision/names.h"
-#include "given/hex_id.h"
+#include "decision/setting_names.h"
+#include "decision/settings_reader.h"
+#include "settings/hex_id.h"
 
 #include <xxhash.h>
 
@@ -41,12 +41,12 @@
     for (std::size_t outcome = 0; outcome < by_allocation.size(); ++outcome)
       by_allocation[outcome] =
           &registry.counter("snowshore_allocations_total", "Allocations ended or started, by outcome",
-                            {{"outcome", std::string(given::kOutcomeNames[outcome])}});
+                            {{"outcome", std::string(setting_names::kOutcomeNames[outcome])}});
   }
   static constexpr const char *kOutcomes[] = {"plays", "declined", "failed", "left"};
   // Looked up once at the start, since each look-up in the registry searches all metric families.
   std::map<std::pair<std::string_view, std::size_t>, prometheus::Counter *> by_outcome;
-  std::array<prometheus::Counter *, std::size(given::kOutcomeNames)> by_allocation{};
+  std::array<prometheus::Counter *, std::size(setting_names::kOutcomeNames)> by_allocation{};
   prometheus::Counter &plays(const char *outcome, FailureCause cause) {
     return *by_outcome.at({outcome, static_cast<std::size_t>(cause)});
   }
@@ -101,7 +101,7 @@
 Core::~Core() = default;
 
 double Core::drain_grace() const {
-  return SettingsReader(settings_.decision_settings).number(given::kDrainGrace, 0);
+  return SettingsReader(settings_.decision_settings).number(setting_names::kDrainGrace, 0);
 }
 
 void Core::start(std::function<void(Catalogue)> on_catalogue) {
@@ -212,7 +212,7 @@
   if (play.state != PlayState::requested && play.state != PlayState::allocating) return;
   counters_->plays(play.cause == FailureCause::deadline_passed ? "failed" : "left", play.cause).Increment();
   if (log_.is_enabled(telemetry::LogLevel::info))
-    log_.info("left", {{"session", given::format_hex16(play.id)},
+    log_.info("left", {{"session", settings::format_hex16(play.id)},
                        {"state", name_of(play.state)},
                        {"after", clock_.read_now() - play.requested_at}});
   if (play.state == PlayState::requested) {
@@ -247,7 +247,7 @@
   counters_->answer.Observe(now - play.requested_at);
   counters_->processing.Observe(play.processing_time);
   if (log_.is_enabled(telemetry::LogLevel::info))
-    log_.info(outcome, {{"session", given::format_hex16(play.id)},
+    log_.info(outcome, {{"session", settings::format_hex16(play.id)},
                         {"title", titles_.id(play.title)},
                         {"product", settings_.products[static_cast<std::size_t>(play.product)].name},
                         {"server", play.server >= 0 ? servers_.id(play.server) : ""},
@@ -355,10 +355,10 @@
   if (!result.started) {
     play.cause = cause_of(result.outcome);
     if (log_.is_enabled(telemetry::LogLevel::info))
-      log_.info("attempt_ended", {{"session", given::format_hex16(play.id)},
+      log_.info("attempt_ended", {{"session", settings::format_hex16(play.id)},
                                   {"server", servers_.id(play.server)},
                                   {"number", allocation},
-                                  {"outcome", given::name_of(result.outcome)},
+                                  {"outcome", setting_names::name_of(result.outcome)},
                                   {"took", result.duration}});
     plays_.set_state(index, PlayState::requested);
     call_engine([&] { engine_->allocation_ended(index, allocation, result.outcome, false, result.load); });
--- a/src/edge/core.h
+++ b/src/edge/core.h
@@ -6,9 +6,9 @@
 #pragma once
 #include "decision/id_table.h"
 #include "decision/policy.h"
-#include "edge/doors.h"
+#include "edge/gateways.h"
 #include "edge/list_source.h"
-#include "edge/plays.h"
+#include "edge/play_table.h"
 #include "edge/send_guard.h"
 #include "registry/server_registry.h"
 #include "telemetry/log.h"
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -1,6 +1,6 @@
 // Requests of players and operators, the core's answers to players, and the channels to servers.
 #include "edge/edge.h"
-#include "decision/names.h"
+#include "decision/setting_names.h"
 #include "hints/hints.h"
 
 #include <algorithm>
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -2,10 +2,10 @@
 // carries the core's calls out on sockets. It also serves the operators' pages and applies changes of the
 // configuration in service. It decides nothing about plays. All of it runs on one executor, in one thread.
 #pragma once
+#include "config/front_config.h"
+#include "config/front_snapshot.h"
 #include "edge/channel.h"
 #include "edge/core.h"
-#include "site/front_record.h"
-#include "site/front_state.h"
 
 #include <functional>
 #include <memory>
@@ -13,8 +13,8 @@
 
 namespace snowshore::edge {
 
-using site::FrontConfig;
-using site::ProductSettings;
+using config::FrontConfig;
+using config::ProductSettings;
 
 class Edge final : PlayerGateway, ServerGateway {
  public:
@@ -41,7 +41,7 @@
   std::optional<std::string> check_config(const FrontConfig &next, bool drained);
   // Called after each apply_config() that succeeds.
   std::function<void()> on_config_changed;
-  site::FrontSnapshot state();
+  config::FrontSnapshot state();
   // Accepts no new plays; calls `done` once each accepted play has its answer. Running plays are not waited
   // for.
   void drain(std::function<void()> done);
--- a/src/edge/list_source.cpp
+++ b/src/edge/list_source.cpp
@@ -1,6 +1,6 @@
 // The list source that reads record files, in two variants: one watches them with inotify, one polls them.
 #include "edge/list_source.h"
-#include "site/front_record.h"
+#include "config/front_config.h"
 #include "telemetry/loop_clock.h"
 
 #include <sys/inotify.h>
@@ -173,7 +173,7 @@
 
 ServerList parse_server_list(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
-  records::Record record = records::read(files, site::front_schema(), "#List");
+  records::Record record = records::read(files, config::front_schema(), "#List");
   ServerList result;
   result.version = static_cast<std::uint64_t>(record.number("version"));
   std::set<std::string> ids;
@@ -191,7 +191,7 @@
                     : status == "leaving" ? ServerStatus::leaving
                                           : ServerStatus::left;
     try {
-      server.address = site::parse_endpoint(item.text("address"));
+      server.address = config::parse_endpoint(item.text("address"));
     } catch (const std::invalid_argument &error) {
       errors.push_back({item.at("address").value().location, item.path() + ".address", "an address and port",
                         error.what()});
@@ -207,7 +207,7 @@
 
 Catalogue parse_catalogue(const std::string &name, const std::string &text) {
   records::Source files[] = {{name, text}};
-  records::Record record = records::read(files, site::front_schema(), "#Catalogue");
+  records::Record record = records::read(files, config::front_schema(), "#Catalogue");
   Catalogue result;
   for (const auto &[title, cells] : record.at("titles").fields())
     result[title] = {cells.integer("cell"), cells.integer("cells")};
--- a/src/edge/list_source.h
+++ b/src/edge/list_source.h
@@ -1,6 +1,6 @@
 // Sources of the server list and of the title catalogue. This file declares the interface and the source that
-// reads two record files; feed::Client is another implementation. Events come on the executor, never from
-// within start() or request_list().
+// reads two record files; discovery::Client is another implementation. Events come on the executor, never
+// from within start() or request_list().
 #pragma once
 #include "decision/policy.h"
 #include "http/server.h"
--- a/src/edge/plays.cpp
+++ b/src/edge/play_table.cpp
@@ -1,5 +1,5 @@
 // The table of plays: the allowed changes of state, and the indices by id and by server.
-#include "edge/plays.h"
+#include "edge/play_table.h"
 
 #include <stdexcept>
 
--- a/src/edge/send_guard.cpp
+++ b/src/edge/send_guard.cpp
@@ -1,6 +1,6 @@
 // The conditions under which each checked action is denied.
 #include "edge/send_guard.h"
-#include "given/hex_id.h"
+#include "settings/hex_id.h"
 
 #include <numeric>
 
@@ -87,7 +87,7 @@
   ++denied_[static_cast<std::size_t>(action)];
   log_.error("denied", {{"action", name_of(action)},
                         {"reason", name_of(denial)},
-                        {"session", given::format_hex16(play_id)},
+                        {"session", settings::format_hex16(play_id)},
                         {"server", server}});
   return false;
 }
--- a/src/edge/send_guard.h
+++ b/src/edge/send_guard.h
@@ -2,10 +2,10 @@
 // release, a new connection, the exit of the process. A denied action is not done. The rest of the front end
 // is built so that nothing is ever denied: each denial is a defect, which is counted and logged with its id
 // and reason and which fails the tests and the soak runs. The guard knows which set-ups are pending and since
-// when servers leave; the state of a play comes from the play table (plays.h). Times are seconds.
+// when servers leave; the state of a play comes from the play table (play_table.h). Times are seconds.
 #pragma once
 #include "decision/policy.h"
-#include "edge/plays.h"
+#include "edge/play_table.h"
 #include "telemetry/log.h"
 
 #include <array>
--- a/src/jsonlines/message.h
+++ b/src/jsonlines/message.h
@@ -2,7 +2,7 @@
 // {"verb","tag","opts","rc","blob"}. Messages are plain values; this module uses no sockets. The reader
 // bounds the length of a line and checks the type of each member; it never substitutes a value for a bad one.
 #pragma once
-#include "given/hex_id.h"
+#include "settings/hex_id.h"
 
 #include <cstdint>
 #include <optional>
@@ -16,8 +16,8 @@
 // The protocol's bound on a message, without its line end.
 inline constexpr std::size_t kMaxLineBytes = 16 * 1024;
 
-using given::format_hex16;
-using given::parse_hex16;
+using settings::format_hex16;
+using settings::parse_hex16;
 
 struct Message {
   std::string verb;
--- a/src/lab/first_holder.cpp
+++ b/src/lab/baseline_engine.cpp
@@ -1,5 +1,5 @@
-#include "lab/first_holder.h"
-#include "decision/names.h"
+#include "lab/baseline_engine.h"
+#include "decision/setting_names.h"
 
 #include <algorithm>
 #include <charconv>
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Replaces the decision module: see first_holder.h.
+// Replaces the decision module: see baseline_engine.h.
 class FirstHolder final : public DecisionEngine {
  public:
   FirstHolder(const DecisionSettings &settings, DecisionHandler &handler) : handler_(handler) {
-    const std::string &cells = settings.at(given::kCells);
+    const std::string &cells = settings.at(setting_names::kCells);
     std::from_chars(cells.data(), cells.data() + cells.size(), cells_);
   }
   void set_time(double) override {}
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -212,7 +212,7 @@
   }
   day.site = record.at("site");
   records::Source front[] = {{"(the day's front)", render_front_record(day, 0, "(folder)")}};
-  day.front_config = site::parse_front_config(front);
+  day.front_config = config::parse_front_config(front);
   day.product_shares.resize(day.front_config.products.size(), 0);
   return day;
 }
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -1,8 +1,8 @@
 // Declares the laboratory's test day: the fleet and the load that are offered to the front ends, and the
 // faults that are injected at given times. The day files lie under days/.
 #pragma once
+#include "config/front_config.h"
 #include "records/records.h"
-#include "site/front_record.h"
 
 #include <string>
 #include <vector>
@@ -99,7 +99,7 @@
   // The record's part from which the front ends' records are written.
   records::Record site;
   // The configuration that the front ends read from those records.
-  site::FrontConfig front_config;
+  config::FrontConfig front_config;
 };
 
 // Reads a day's record. Positive values of `fronts` and `servers` replace those of the record; the load, the
--- a/src/lab/manage.cpp
+++ b/src/lab/management_load.cpp
@@ -1,4 +1,4 @@
-#include "lab/manage.h"
+#include "lab/management_load.h"
 #include "lab/quantile.h"
 #include "management/client.h"
 #include "management/manager.h"
@@ -350,7 +350,7 @@
 
 double measure_recovery(const std::string &folder, int revisions, const std::string &text) {
   records::Source file{"front.cue", text};
-  site::FrontConfig record = site::parse_front_config({&file, 1});
+  config::FrontConfig record = config::parse_front_config({&file, 1});
   model::Model model;
   auto retained = static_cast<std::size_t>(std::max(10, revisions));
   std::string document = model.to_document(record.record);
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -1,7 +1,7 @@
 #include "lab/players.h"
+#include "config/front_config.h"
 #include "hints/hints.h"
-#include "lab/later.h"
-#include "site/front_record.h"
+#include "lab/delayed_call.h"
 
 #include <charconv>
 #include <cmath>
@@ -75,7 +75,7 @@
   std::string name = "f" + std::to_string(front);
   auto endpoint = front_address_(front);
   if (!endpoint || !asking_) return;
-  const site::ProductSettings &product =
+  const config::ProductSettings &product =
       day_.front_config.products[static_cast<std::size_t>(viewer->product)];
   std::uint64_t number = next_ask_++;
   hints::Cmcd hints;
@@ -160,7 +160,7 @@
   try {
     if (!location.starts_with(kScheme) || slash == std::string::npos)
       throw std::invalid_argument("Location is not an absolute http URL");
-    endpoint = site::parse_endpoint(location.substr(kScheme.size(), slash - kScheme.size()));
+    endpoint = config::parse_endpoint(location.substr(kScheme.size(), slash - kScheme.size()));
   } catch (const std::invalid_argument &error) {
     trace_.write("bad_location", {{"ask", ask}, {"location", location}});
     return;
--- a/src/lab/run_day.cpp
+++ b/src/lab/run_day.cpp
@@ -1,5 +1,5 @@
 #include "lab/run_day.h"
-#include "lab/later.h"
+#include "lab/delayed_call.h"
 #include "lab/players.h"
 #include "lab/server.h"
 
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -1,6 +1,6 @@
 #include "lab/server.h"
 #include "hints/hints.h"
-#include "lab/later.h"
+#include "lab/delayed_call.h"
 
 #include <boost/random/normal_distribution.hpp>
 #include <boost/random/uniform_real_distribution.hpp>
--- a/src/management/access.cpp
+++ b/src/management/access.cpp
@@ -59,7 +59,8 @@
   return client;
 }
 
-bool is_allowed(const ClientIdentity &client, Permission permission, const site::ManagementSettings &terms) {
+bool is_allowed(const ClientIdentity &client, Permission permission,
+                const config::ManagementSettings &terms) {
   if (client.plaintext) return true;
   auto listed = [&](const std::vector<std::string> &names) {
     return std::ranges::any_of(
--- a/src/management/access.h
+++ b/src/management/access.h
@@ -1,6 +1,6 @@
 // Identifies a management client by its certificate and checks what the lists in the front's record allow it.
 #pragma once
-#include "site/front_record.h"
+#include "config/front_config.h"
 
 #include <grpcpp/server_context.h>
 
@@ -24,7 +24,7 @@
 
 ClientIdentity identify_client(const grpc::ServerContextBase &context, bool plaintext);
 // Setters may also read. A plaintext client has every permission.
-bool is_allowed(const ClientIdentity &client, Permission permission, const site::ManagementSettings &terms);
+bool is_allowed(const ClientIdentity &client, Permission permission, const config::ManagementSettings &terms);
 
 // Reads a certificate or a key. Throws std::runtime_error with the file's name if the file is empty or
 // missing.
--- a/src/management/client.cpp
+++ b/src/management/client.cpp
@@ -1,7 +1,7 @@
 #include "management/client.h"
 #include "gnmi.grpc.pb.h"
 #include "management/access.h"
-#include "management/wire.h"
+#include "management/gnmi_codec.h"
 
 #include <grpcpp/grpcpp.h>
 
--- a/src/management/wire.cpp
+++ b/src/management/gnmi_codec.cpp
@@ -1,4 +1,4 @@
-#include "management/wire.h"
+#include "management/gnmi_codec.h"
 
 #include <charconv>
 
--- a/src/management/manager.cpp
+++ b/src/management/manager.cpp
@@ -17,7 +17,7 @@
 }
 
 // Returns the state as the model's /state has it.
-Json state_to_json(const site::FrontSnapshot &state) {
+Json state_to_json(const config::FrontSnapshot &state) {
   Json out;
   out["build"] = {{"boot", state.boot}, {"uptime", format_decimal(whole_seconds(state.uptime))}};
   out["service"] = state.service;
@@ -59,7 +59,7 @@
 const ConfigManager::ParsedConfig &ConfigManager::parse_config(const std::string &document) {
   if (parsed_config_ && parsed_config_->document == document) return *parsed_config_;
   records::Source file{"(configuration)", model_.to_record_text(document)};
-  ParsedConfig parsed{document, site::parse_front_config({&file, 1}), false, {}};
+  ParsedConfig parsed{document, config::parse_front_config({&file, 1}), false, {}};
   if (!applied_document_.empty()) {
     for (const model::Difference &difference : model_.diff(applied_document_, document)) {
       parsed.drained = parsed.drained || difference.takes_effect == model::TakesEffect::drained;
@@ -101,7 +101,7 @@
   return std::nullopt;
 }
 
-site::FrontConfig ConfigManager::start(const site::FrontConfig &from_files) {
+config::FrontConfig ConfigManager::start(const config::FrontConfig &from_files) {
   std::lock_guard lock(change_mutex_);
   std::string files_document = model_.to_document(from_files.record);
   auto revisions = store_.read_revisions();
@@ -201,7 +201,7 @@
   return run_change([&] { return transactions_.roll_back(revision, user, now()); });
 }
 
-ChangeResult ConfigManager::apply_files(const site::FrontConfig &from_files, const std::string &user) {
+ChangeResult ConfigManager::apply_files(const config::FrontConfig &from_files, const std::string &user) {
   return run_change([&] {
     std::string document = model_.to_document(from_files.record);
     ChangeResult result{ChangeError::none, "", transactions_.current().number};
--- a/src/management/manager.h
+++ b/src/management/manager.h
@@ -2,10 +2,10 @@
 // whole or not at all (transaction.h). Readers get the configuration in force and the front's state as shared
 // copies. Any thread may call; sets run one at a time, and reads never wait for a set. Times are in seconds.
 #pragma once
+#include "config/front_config.h"
+#include "config/front_snapshot.h"
 #include "management/transaction.h"
 #include "model/model.h"
-#include "site/front_record.h"
-#include "site/front_state.h"
 #include "store/store.h"
 #include "telemetry/loop_clock.h"
 
@@ -28,17 +28,17 @@
   virtual ~FrontControl() = default;
   // Returns why the front would reject the configuration, or nullopt. `drained`: the change contains a value
   // that the front can take only while it has no plays.
-  virtual std::optional<std::string> check_config(const site::FrontConfig &next, bool drained) = 0;
+  virtual std::optional<std::string> check_config(const config::FrontConfig &next, bool drained) = 0;
   // Returns why the front did not take the configuration, or nullopt.
-  virtual std::optional<std::string> apply_config(const site::FrontConfig &next, bool drained) = 0;
-  virtual site::FrontSnapshot state() = 0;
+  virtual std::optional<std::string> apply_config(const config::FrontConfig &next, bool drained) = 0;
+  virtual config::FrontSnapshot state() = 0;
 };
 
 // An immutable copy of the revision in force, for readers.
 struct RunningConfig {
   std::uint64_t revision = 0;
   std::string document;
-  site::ManagementSettings terms;
+  config::ManagementSettings terms;
   double confirm_deadline = 0; // epoch seconds; 0: confirmed
   std::string commit_id;       // of a revision that awaits its confirmation
 };
@@ -51,7 +51,7 @@
   // Runs before the front starts: reads the history and returns the record in force. from_files becomes a new
   // revision if the files have changed since they were last read. Throws StoreError, ModelError, RecordError,
   // and std::runtime_error if the last revision of the history cannot run.
-  site::FrontConfig start(const site::FrontConfig &from_files);
+  config::FrontConfig start(const config::FrontConfig &from_files);
   // Sets the front that sets act on; nullptr: the front has stopped. It must outlive the manager's calls.
   void attach(FrontControl *front);
 
@@ -68,7 +68,7 @@
   ChangeResult cancel(std::uint64_t revision, const std::string &user);
   ChangeResult roll_back(std::uint64_t revision, const std::string &user);
   // Replaces the whole configuration by that of the record files.
-  ChangeResult apply_files(const site::FrontConfig &from_files, const std::string &user);
+  ChangeResult apply_files(const config::FrontConfig &from_files, const std::string &user);
   // Rolls back an unconfirmed change whose deadline has passed. Returns the seconds until the next deadline.
   std::optional<double> roll_back_expired();
 
@@ -100,7 +100,7 @@
   // A document with its record, cached so that one set parses it once.
   struct ParsedConfig {
     std::string document;
-    site::FrontConfig record;
+    config::FrontConfig record;
     // Whether the difference to applied_document_ needs a front without plays.
     bool drained = false;
     // A changed path that takes effect only at a new start.
--- a/src/management/service.cpp
+++ b/src/management/service.cpp
@@ -1,8 +1,8 @@
 #include "management/service.h"
 #include "gnmi.grpc.pb.h"
 #include "management/access.h"
-#include "management/follower.h"
-#include "management/wire.h"
+#include "management/gnmi_codec.h"
+#include "management/subscription_tracker.h"
 
 #include <grpcpp/grpcpp.h>
 #include <grpcpp/resource_quota.h>
@@ -117,7 +117,7 @@
   bool has_state_ = false;
 };
 
-std::shared_ptr<grpc::ServerCredentials> server_credentials(const site::ManagementSettings &terms) {
+std::shared_ptr<grpc::ServerCredentials> server_credentials(const config::ManagementSettings &terms) {
   if (terms.plaintext) return grpc::InsecureServerCredentials();
   for (const std::string *name : {&terms.certificate, &terms.key, &terms.client_authority})
     read_pem_file(*name);
@@ -136,7 +136,7 @@
 // The generated service with its server, and the thread that supervises streams.
 class Service::Gnmi final : public gnmi::gNMI::Service {
  public:
-  Gnmi(ConfigManager &manager, const site::ManagementSettings &terms)
+  Gnmi(ConfigManager &manager, const config::ManagementSettings &terms)
       : manager_(manager), plaintext_(terms.plaintext) {
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota;
@@ -555,7 +555,7 @@
   std::jthread watchdog_;
 };
 
-Service::Service(ConfigManager &manager, const site::ManagementSettings &terms)
+Service::Service(ConfigManager &manager, const config::ManagementSettings &terms)
     : gnmi_(std::make_unique<Gnmi>(manager, terms)) {}
 Service::~Service() = default;
 int Service::port() const { return gnmi_->port(); }
--- a/src/management/service.h
+++ b/src/management/service.h
@@ -12,7 +12,7 @@
  public:
   // Starts listening. Throws std::runtime_error if the address is not available or a certificate cannot be
   // read.
-  Service(ConfigManager &manager, const site::ManagementSettings &terms);
+  Service(ConfigManager &manager, const config::ManagementSettings &terms);
   // Cancels all calls in progress.
   ~Service();
   int port() const;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -1,5 +1,5 @@
 #include "platform/front.h"
-#include "decision/names.h"
+#include "decision/setting_names.h"
 #include "telemetry/loop_clock.h"
 
 #include <sys/resource.h>
@@ -39,8 +39,8 @@
 PlatformFront::PlatformFront(asio::io_context &io, NodeConfig config, telemetry::Log &log)
     : io_(io), config_(std::move(config)), log_(log), viewers_(io, config_, log),
       servers_(io, config_, log, viewers_),
-      channel_(new feed::Client(io, config_.channel, config_.places, std::exchange(config_.initial_list, {}),
-                                config_.seed, log)),
+      channel_(new discovery::Client(io, config_.channel, config_.places,
+                                     std::exchange(config_.initial_list, {}), config_.seed, log)),
       core_(io, config_.core, log, std::unique_ptr<edge::ListSource>(channel_), viewers_, servers_),
       drain_timer_(io), summary_timer_(io) {
   viewers_.set_core(core_);
@@ -136,7 +136,7 @@
     nlohmann::json answers, outcomes, disconnects;
     for (const auto &[name, count] : core_.answer_counts()) answers[name] = count;
     for (std::size_t outcome = 0; outcome < server_counts.outcomes.size(); ++outcome)
-      outcomes[std::string(given::kOutcomeNames[outcome])] = server_counts.outcomes[outcome];
+      outcomes[std::string(setting_names::kOutcomeNames[outcome])] = server_counts.outcomes[outcome];
     for (std::size_t reason = 0; reason < server_counts.disconnects.size(); ++reason)
       disconnects[rtsp::kEndReasonNames[reason]] = server_counts.disconnects[reason];
     log_.info("summary",
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -2,10 +2,10 @@
 // command channel as its list source. Everything runs on one executor and one thread.
 #pragma once
 #include "decision/drain_budget.h"
-#include "feed/client.h"
-#include "platform/boot.h"
-#include "platform/servers.h"
-#include "platform/viewers.h"
+#include "discovery/client.h"
+#include "platform/node_config.h"
+#include "platform/rtsp_server_gateway.h"
+#include "platform/viewer_gateway.h"
 
 #include <functional>
 #include <optional>
@@ -47,7 +47,7 @@
   ViewerGateway viewers_;
   RtspServerGateway servers_;
   // Owned by core_.
-  feed::Client *channel_;
+  discovery::Client *channel_;
   edge::Core core_;
   asio::steady_timer drain_timer_, summary_timer_;
   std::function<void()> on_drained_;
--- a/src/platform/boot.cpp
+++ b/src/platform/node_config.cpp
@@ -1,7 +1,7 @@
-#include "platform/boot.h"
-#include "decision/names.h"
-#include "given/translate.h"
-#include "site/front_record.h"
+#include "platform/node_config.h"
+#include "config/front_config.h"
+#include "decision/setting_names.h"
+#include "settings/translation.h"
 
 #include <nlohmann/json.hpp>
 
@@ -44,7 +44,7 @@
 
 asio::ip::tcp::endpoint endpoint(const std::string &value, const std::string &path) {
   try {
-    return site::parse_endpoint(value);
+    return config::parse_endpoint(value);
   } catch (const std::invalid_argument &) {
     throw config_error(path, "must be an address and a port");
   }
@@ -84,7 +84,7 @@
   std::vector<std::string> out;
   auto it = engine_settings.find(name);
   if (it != engine_settings.end())
-    given::for_each_part(it->second, ',', [&](std::string_view word) { out.emplace_back(word); });
+    settings::for_each_part(it->second, ',', [&](std::string_view word) { out.emplace_back(word); });
   return out;
 }
 
@@ -104,14 +104,14 @@
 
 double number_setting(const DecisionSettings &engine_settings, const std::string &name) {
   auto it = engine_settings.find(name);
-  auto found = it == engine_settings.end() ? std::nullopt : given::parse_number(it->second);
+  auto found = it == engine_settings.end() ? std::nullopt : settings::parse_number(it->second);
   if (!found) throw config_error("settings", "missing or not a number: " + name);
   return *found;
 }
 
 double number_setting_or(const DecisionSettings &engine_settings, const std::string &name, double fallback) {
   auto it = engine_settings.find(name);
-  return it == engine_settings.end() ? fallback : given::parse_number(it->second).value_or(fallback);
+  return it == engine_settings.end() ? fallback : settings::parse_number(it->second).value_or(fallback);
 }
 
 void check_list_length(const DecisionSettings &engine_settings, const char *name, std::size_t expected) {
@@ -161,50 +161,51 @@
   if (!settings.is_object()) throw config_error("settings", "must be an object");
   std::vector<std::pair<std::string, std::string>> flat;
   flatten(settings, "", flat);
-  std::vector<given::SettingField> fields(flat.begin(), flat.end());
-  out.core.decision_settings = given::translate_settings(fields);
+  std::vector<settings::SettingField> fields(flat.begin(), flat.end());
+  out.core.decision_settings = settings::translate_settings(fields);
   const DecisionSettings &engine_settings = out.core.decision_settings;
   out.core.seed = out.seed;
   out.core.halls = out.places.halls = string_list(settings, "areas");
   out.core.kinds = out.places.kinds = string_list(settings, "skus");
   if (out.places.kinds.empty()) throw config_error("settings", "skus must name at least one kind of server");
-  auto products = static_cast<std::size_t>(number_setting(engine_settings, given::kProducts));
+  auto products = static_cast<std::size_t>(number_setting(engine_settings, setting_names::kProducts));
   for (std::size_t p = 0; p < products; ++p) {
     std::string path = "settings.classes[" + std::to_string(p) + "].";
     std::string name = string_member(member(settings, "settings.", "classes").at(p), path, "name");
     if (std::ranges::any_of(name, [](char c) { return static_cast<unsigned char>(c) < ' ' || c == 127; }))
       throw config_error(path + "name",
                          "must not contain control characters, which cannot be sent to servers");
-    double limit = number_setting(engine_settings, given::product_setting_name(p, given::kTimeLimit));
+    double limit =
+        number_setting(engine_settings, setting_names::product_setting_name(p, setting_names::kTimeLimit));
     out.core.products.push_back({name, limit});
     out.longest_time_limit = std::max(out.longest_time_limit, limit);
   }
   if (out.core.products.empty()) throw config_error("settings", "classes must name at least one class");
-  check_list_length(engine_settings, given::kProductFloors, products);
-  check_list_length(engine_settings, given::kProductTops, products);
-  check_list_length(engine_settings, given::kProductRateFactors, products);
-  out.rungs = static_cast<int>(list_items(engine_settings, given::kRungRates).size());
+  check_list_length(engine_settings, setting_names::kProductFloors, products);
+  check_list_length(engine_settings, setting_names::kProductTops, products);
+  check_list_length(engine_settings, setting_names::kProductRateFactors, products);
+  out.rungs = static_cast<int>(list_items(engine_settings, setting_names::kRungRates).size());
   if (out.rungs == 0) throw config_error("settings", "family_info.ladder_kb must hold at least one rung");
-  check_list_length(engine_settings, given::kRungImportance, static_cast<std::size_t>(out.rungs));
-  out.cells = static_cast<int>(number_setting(engine_settings, given::kCells));
-  out.core.answer_slack = number_setting_or(engine_settings, given::kAnswerSlack, 0.04);
+  check_list_length(engine_settings, setting_names::kRungImportance, static_cast<std::size_t>(out.rungs));
+  out.cells = static_cast<int>(number_setting(engine_settings, setting_names::kCells));
+  out.core.answer_slack = number_setting_or(engine_settings, setting_names::kAnswerSlack, 0.04);
   // Servers report their load in notes.
   out.core.load_in_answers = false;
-  out.may_advise_return = engine_settings.contains(given::kMayAdviseReturn) &&
-                          engine_settings.at(given::kMayAdviseReturn) != "false";
-  out.longest_retry_after = number_setting_or(engine_settings, given::kLongestRetryAfter, 0);
+  out.may_advise_return = engine_settings.contains(setting_names::kMayAdviseReturn) &&
+                          engine_settings.at(setting_names::kMayAdviseReturn) != "false";
+  out.longest_retry_after = number_setting_or(engine_settings, setting_names::kLongestRetryAfter, 0);
   out.connect_timeout = number_setting_or(engine_settings, "limits.connect_timeout", 0.25);
   out.idle_timeout = number_setting_or(engine_settings, "limits.idle_close", 30);
   out.set_ups_per_connection = static_cast<std::size_t>(
       std::clamp(number_setting_or(engine_settings, "limits.multiplex", 32), 1.0, 1e6));
-  out.feedback_interval = number_setting_or(engine_settings, given::kLinkFeedbackInterval, 0);
+  out.feedback_interval = number_setting_or(engine_settings, setting_names::kLinkFeedbackInterval, 0);
 
   const Json &known = member(json, "", "known");
   const Json &events = member(known, "known.", "cmds");
   if (!events.is_array()) throw config_error("known.cmds", "must be a list");
   try {
     for (std::size_t i = 0; i < events.size(); ++i) {
-      auto event = feed::parse_config_event(events[i], "known.cmds[" + std::to_string(i) + "]");
+      auto event = discovery::parse_config_event(events[i], "known.cmds[" + std::to_string(i) + "]");
       if (out.initial_list.number() == 0 && event.number > 1) out.initial_list.start_from(event.number - 1);
       out.initial_list.apply(event);
     }
@@ -224,7 +225,7 @@
       next.cells != current.cells || next.rungs != current.rungs)
     return "settings: a change of classes, kinds, zones, cells or rungs, or of their order, needs a restart";
   // A running decision engine cannot change these; see settings_changed() in decision/policy.h.
-  for (const char *name : {given::kRacks, given::kLoadFields, given::kRetryWindow}) {
+  for (const char *name : {setting_names::kRacks, setting_names::kLoadFields, setting_names::kRetryWindow}) {
     auto setting = [&](const NodeConfig &config) {
       auto it = config.core.decision_settings.find(name);
       return it == config.core.decision_settings.end() ? std::string() : it->second;
--- a/src/platform/boot.h
+++ b/src/platform/node_config.h
@@ -2,8 +2,8 @@
 // which is checked as a whole, and the limits derived from it. Each error message names the path in the file
 // and the reason.
 #pragma once
+#include "discovery/frames.h"
 #include "edge/core.h"
-#include "feed/frames.h"
 
 #include <stdexcept>
 #include <string>
@@ -31,8 +31,8 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 0, memory_mb = 0;
   double cores = 1;
-  feed::List initial_list;
-  feed::NameTables places;
+  discovery::List initial_list;
+  discovery::NameTables places;
   edge::CoreSettings core;
   int rungs = 0, cells = 1;
   bool may_advise_return = true;
--- a/src/platform/ends.cpp
+++ b/src/platform/outcome_mapping.cpp
@@ -1,5 +1,5 @@
-#include "platform/ends.h"
-#include "given/translate.h"
+#include "platform/outcome_mapping.h"
+#include "settings/translation.h"
 
 namespace snowshore::platform {
 
@@ -45,7 +45,7 @@
   if (position == std::string_view::npos) return std::nullopt;
   std::string_view digits = reason->substr(position + 6);
   digits = digits.substr(0, digits.find_first_not_of("0123456789"));
-  auto value = given::parse_number(digits);
+  auto value = settings::parse_number(digits);
   return value && *value < 1000 ? std::optional(static_cast<int>(*value)) : std::nullopt;
 }
 
--- a/src/platform/servers.cpp
+++ b/src/platform/rtsp_server_gateway.cpp
@@ -1,8 +1,8 @@
-#include "platform/servers.h"
+#include "platform/rtsp_server_gateway.h"
 #include "decision/connection_budget.h"
-#include "decision/names.h"
-#include "given/translate.h"
-#include "platform/ends.h"
+#include "decision/setting_names.h"
+#include "platform/outcome_mapping.h"
+#include "settings/translation.h"
 #include "telemetry/loop_clock.h"
 
 #include <algorithm>
@@ -365,7 +365,7 @@
 LoadReport RtspServerGateway::load_report_of(const rtsp::Message &message) {
   LoadReport report;
   if (auto text = message.find_header("X-Gauges");
-      text && !given::parse_load_report(*text, ';', report).empty())
+      text && !settings::parse_load_report(*text, ';', report).empty())
     ++counters_.malformed;
   return report;
 }
@@ -388,7 +388,7 @@
     server_slot(server)->liveness.session_message_received(core_->clock().now(),
                                                            core_->plays().at(play).started_at);
     auto name = message.find_header("X-Outcome"), amount = message.find_header("P-Amount");
-    auto value = amount ? given::parse_number(*amount) : std::nullopt;
+    auto value = amount ? settings::parse_number(*amount) : std::nullopt;
     auto kind = std::ranges::find(kFeedbackNames, name.value_or(""),
                                   &std::pair<std::string_view, FeedbackKind>::first);
     if (!value || kind == std::end(kFeedbackNames)) {
--- a/src/platform/servers.h
+++ b/src/platform/rtsp_server_gateway.h
@@ -3,9 +3,9 @@
 // Liveness whether servers that hold plays are alive. It runs on the core's executor.
 #pragma once
 #include "edge/core.h"
-#include "platform/boot.h"
 #include "platform/liveness.h"
-#include "platform/viewers.h"
+#include "platform/node_config.h"
+#include "platform/viewer_gateway.h"
 #include "rtsp/peer.h"
 
 #include <deque>
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewer_gateway.cpp
@@ -1,6 +1,6 @@
-#include "platform/viewers.h"
-#include "given/translate.h"
-#include "platform/ends.h"
+#include "platform/viewer_gateway.h"
+#include "platform/outcome_mapping.h"
+#include "settings/translation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,7 +20,7 @@
 
 // Parses an integer within the bounds, both included.
 std::optional<int> parse_bounded_int(std::string_view text, int min, int max) {
-  auto value = given::parse_number(text);
+  auto value = settings::parse_number(text);
   if (!value || *value < min || *value > max || *value != std::floor(*value)) return std::nullopt;
   return static_cast<int>(*value);
 }
@@ -28,7 +28,7 @@
 // Returns the value of the last name:value part with this name, or an empty text.
 std::string_view find_extra(std::string_view extras, std::string_view name) {
   std::string_view found;
-  given::for_each_part(extras, ';', [&](std::string_view part) {
+  settings::for_each_part(extras, ';', [&](std::string_view part) {
     if (part.size() > name.size() && part.starts_with(name) && part[name.size()] == ':')
       found = part.substr(name.size() + 1);
   });
@@ -101,7 +101,7 @@
   auto product = std::ranges::find(config_.core.products, text("class"), &edge::CoreProduct::name);
   if (product == config_.core.products.end()) return invalid("class: not in the settings");
   request.product = static_cast<int>(product - config_.core.products.begin());
-  auto left = given::parse_number(text("left"));
+  auto left = settings::parse_number(text("left"));
   if (!left && !text("left").empty()) return invalid("left: must be a number of milliseconds");
   // For a running play the value is the rest of the play, which the time limit of the settings does not
   // bound.
@@ -121,7 +121,7 @@
   request.cell_count = *cell_count;
   request.max_rung = *max_rung;
   request.viewer = *viewer;
-  if (auto hint = given::parse_number(text("hint")); hint && *hint > 0) request.duration_hint = *hint;
+  if (auto hint = settings::parse_number(text("hint")); hint && *hint > 0) request.duration_hint = *hint;
   request.is_repeated = find_extra(extras, "again") == "1";
   request.is_moved = find_extra(extras, "moved") == "1";
   if (!message.description) return invalid("blob: the description is missing");
--- a/src/platform/viewers.h
+++ b/src/platform/viewer_gateway.h
@@ -3,7 +3,7 @@
 #pragma once
 #include "edge/core.h"
 #include "jsonlines/server.h"
-#include "platform/boot.h"
+#include "platform/node_config.h"
 
 #include <deque>
 #include <memory>
--- a/src/program/run.cpp
+++ b/src/program/run.cpp
@@ -1,7 +1,7 @@
 // Starts the parts of a front end's process in order and runs them until it is drained.
 #include "program/run.h"
 #include "edge/serve.h"
-#include "program/beside.h"
+#include "program/management_interface.h"
 
 #include <iostream>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
+using config::FrontConfig;
 using edge::Edge;
-using site::FrontConfig;
 
 // Writes the bound ports to the file for programs that wait for them; does nothing without a file name.
 void write_ports(const std::string &file, const Edge &edge, int management_port) {
@@ -27,7 +27,7 @@
   try {
     asio::io_context io(1);
     asio::signal_set signals = edge::register_signals(io);
-    FrontConfig config = site::load_front_config(files);
+    FrontConfig config = config::load_front_config(files);
     std::unique_ptr<ManagementInterface> management = make_management(config, version);
     if (management) config = management->start(config);
     telemetry::Log log(config.log_target, telemetry::parse_log_level(config.log_level));
@@ -52,8 +52,8 @@
     bool draining = false;
     auto reload = [&] {
       if (draining) throw std::runtime_error("the front is draining");
-      if (management) return management->apply_files(site::load_front_config(files));
-      log.info("reloaded", {{"needs_restart", edge.reload(site::load_front_config(files))}});
+      if (management) return management->apply_files(config::load_front_config(files));
+      log.info("reloaded", {{"needs_restart", edge.reload(config::load_front_config(files))}});
     };
     edge::serve(io, signals, edge.clock(), log, {reload, [&](std::function<void()> done) {
                                                    draining = true;
--- a/src/program/managed.cpp
+++ b/src/program/with_management.cpp
@@ -1,6 +1,6 @@
 // The management interface in the edge's process: its own threads, which reach the edge through its executor.
 #include "management/service.h"
-#include "program/beside.h"
+#include "program/management_interface.h"
 
 #include <condition_variable>
 #include <mutex>
@@ -10,9 +10,9 @@
 
 namespace {
 
+using config::FrontConfig;
 using edge::Edge;
 using management::ConfigManager;
-using site::FrontConfig;
 
 // Calls the edge on its executor for management's threads: a call is posted, and the calling thread waits for
 // its result. After stop(), all calls throw FrontStopping, also those that wait.
@@ -27,8 +27,8 @@
     return call<std::optional<std::string>>(
         [this, next, drained] { return edge_.apply_config(next, drained); });
   }
-  site::FrontSnapshot state() override {
-    return call<site::FrontSnapshot>([this] { return edge_.state(); });
+  config::FrontSnapshot state() override {
+    return call<config::FrontSnapshot>([this] { return edge_.state(); });
   }
   // Called in the executor's thread.
   void stop() {
@@ -114,7 +114,7 @@
   }
 
  private:
-  site::ManagementSettings settings_;
+  config::ManagementSettings settings_;
   model::Model model_;
   store::Store store_;
   ConfigManager manager_;
--- a/src/rtsp/peer.cpp
+++ b/src/rtsp/peer.cpp
@@ -1,6 +1,6 @@
 // Connection pool, set-ups, releases and probes of one media server.
 #include "rtsp/peer.h"
-#include "given/hex_id.h"
+#include "settings/hex_id.h"
 #include "telemetry/loop_clock.h"
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 // Seconds that a retired connection is kept, since a late answer on it must still be released.
 constexpr double kRetiredLifetime = 1;
 
-using given::format_hex16;
+using settings::format_hex16;
 
 std::optional<std::uint64_t> session_of(const Message &message) {
   auto text = message.find_header("Session");
-  return text ? given::parse_hex16(*text) : std::nullopt;
+  return text ? settings::parse_hex16(*text) : std::nullopt;
 }
 
 // `cseq` is fixed for each method, so that a response is recognized by it: 1 SETUP, 2 TEARDOWN, 3 OPTIONS,
--- a/src/given/hex_id.h
+++ b/src/settings/hex_id.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace snowshore::given {
+namespace snowshore::settings {
 
 // Returns nothing where the text has another form.
 inline std::optional<std::uint64_t> parse_hex16(std::string_view text) {
@@ -26,4 +26,4 @@
   return out;
 }
 
-} // namespace snowshore::given
+} // namespace snowshore::settings
--- a/src/given/translate.h
+++ b/src/settings/translation.h
@@ -1,6 +1,6 @@
 // Translates the names that the platform and the simulator use for the decision engine's settings, and for
-// the fields of a load report, into the engine's own names (decision/names.h). The simulator's adapter and
-// the platform's gateways share it.
+// the fields of a load report, into the engine's own names (decision/setting_names.h). The simulator's
+// adapter and the platform's gateways share it.
 #pragma once
 #include "decision/policy.h"
 
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <utility>
 
-namespace snowshore::given {
+namespace snowshore::settings {
 
 // A dotted name and its value; the items of a list are separated by commas.
 using SettingField = std::pair<std::string_view, std::string_view>;
@@ -42,4 +42,4 @@
 // the first part that is not such a pair; an empty result means that all parts were read.
 std::string_view parse_load_report(std::string_view text, char separator, LoadReport &report);
 
-} // namespace snowshore::given
+} // namespace snowshore::settings
--- a/src/soak/clients.h
+++ b/src/soak/clients.h
@@ -2,8 +2,8 @@
 // that they keep and share, give up, ask again, end sessions, and hand their sessions over to a front end
 // that restarted.
 #pragma once
+#include "soak/faulty_stream.h"
 #include "soak/ledger.h"
-#include "soak/wire.h"
 
 #include <functional>
 #include <map>
--- a/src/soak/discovery.h
+++ b/src/soak/discovery.h
@@ -3,8 +3,8 @@
 // addresses, so that it can move.
 #pragma once
 #include "soak/addresses.h"
+#include "soak/faulty_stream.h"
 #include "soak/ledger.h"
-#include "soak/wire.h"
 
 #include <map>
 #include <memory>
--- a/src/soak/wire.cpp
+++ b/src/soak/faulty_stream.cpp
@@ -1,4 +1,4 @@
-#include "soak/wire.h"
+#include "soak/faulty_stream.h"
 
 #include <sys/socket.h>
 
--- a/src/soak/ledger.cpp
+++ b/src/soak/ledger.cpp
@@ -1,5 +1,5 @@
 #include "soak/ledger.h"
-#include "soak/wire.h"
+#include "soak/faulty_stream.h"
 
 #include <sys/wait.h>
 
--- a/src/soak/ledger.h
+++ b/src/soak/ledger.h
@@ -1,6 +1,7 @@
 // The oracle of the soak. It records what clients, servers and discovery observe, as it happens, and judges
 // the rules of the platform's pages by these records alone; it uses no code of the front end. Times are
-// seconds of the steady clock (now() in wire.h). A negative time means that the event has not happened.
+// seconds of the steady clock (now() in faulty_stream.h). A negative time means that the event has not
+// happened.
 #pragma once
 #include "soak/scenario.h"
 
--- a/src/soak/servers.h
+++ b/src/soak/servers.h
@@ -2,9 +2,9 @@
 // scenario asks. What arrives on their sockets is recorded in the ledger at once.
 #pragma once
 #include "soak/addresses.h"
+#include "soak/faulty_stream.h"
 #include "soak/ledger.h"
 #include "soak/rtsp_text.h"
-#include "soak/wire.h"
 
 #include <functional>
 #include <map>
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -1,9 +1,9 @@
 // The lines of the simulator's protocol: their names, their fields, and what each one means for the decision
 // engine. Throws WireError for lines that cannot be used.
 #include "wirehost/host.h"
-#include "decision/names.h"
-#include "given/hex_id.h"
-#include "given/translate.h"
+#include "decision/setting_names.h"
+#include "settings/hex_id.h"
+#include "settings/translation.h"
 
 #include <algorithm>
 
@@ -33,7 +33,7 @@
 
 // Parses the field corr, which identifies a play.
 std::uint64_t parse_play_id(std::string_view text) {
-  auto value = given::parse_hex16(text);
+  auto value = settings::parse_hex16(text);
   if (!value) throw WireError("corr '" + std::string(text.substr(0, 40)) + "' is not 16 hex digits");
   return *value;
 }
@@ -41,18 +41,18 @@
 } // namespace
 
 DecisionSettings engine_settings(const WireLine &line) {
-  std::vector<given::SettingField> fields;
+  std::vector<settings::SettingField> fields;
   for (const auto &field : line.fields()) {
     if (field.first != "i" && field.first != "random_seed") fields.push_back(field);
   }
-  return given::translate_settings(fields);
+  return settings::translate_settings(fields);
 }
 
 EngineInstance::EngineInstance(std::string id, const WireLine &line, double now, std::string &output)
     : id_(std::move(id)), output_(output) {
   DecisionSettings settings = engine_settings(line);
   for (std::size_t product = 0;; ++product) {
-    auto it = settings.find(given::product_setting_name(product, given::kName));
+    auto it = settings.find(setting_names::product_setting_name(product, setting_names::kName));
     if (it == settings.end()) break;
     products_.push_back(it->second);
   }
@@ -196,7 +196,7 @@
 
 LoadReport EngineInstance::load_report_of(const WireLine &line) const {
   LoadReport report;
-  std::string_view bad = given::parse_load_report(line.find("feedback").value_or(""), ',', report);
+  std::string_view bad = settings::parse_load_report(line.find("feedback").value_or(""), ',', report);
   if (!bad.empty()) throw WireError("feedback field '" + std::string(bad) + "' is not a name:value pair");
   return report;
 }
@@ -320,10 +320,10 @@
     lists_[current_list_].clear();
   } else if (name == "OPEN_INSTANCE") {
     HostedInstance hosted;
-    given::for_each_part(line_.find("areas").value_or(""), ',',
-                         [&](std::string_view hall) { hosted.halls.index_of(std::string(hall)); });
-    given::for_each_part(line_.find("skus").value_or(""), ',',
-                         [&](std::string_view kind) { hosted.kinds.index_of(std::string(kind)); });
+    settings::for_each_part(line_.find("areas").value_or(""), ',',
+                            [&](std::string_view hall) { hosted.halls.index_of(std::string(hall)); });
+    settings::for_each_part(line_.find("skus").value_or(""), ',',
+                            [&](std::string_view kind) { hosted.kinds.index_of(std::string(kind)); });
     hosted.instance = std::make_unique<EngineInstance>(std::string(line_.text("i")), line_, now_, reply_);
     instances_[line_.integer("i")] = std::move(hosted);
   } else if (name == "TEARDOWN") {
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -13,7 +13,7 @@
 
 namespace snowshore {
 
-// Returns the settings in an OPEN_INSTANCE line, under the engine's names (decision/names.h).
+// Returns the settings in an OPEN_INSTANCE line, under the engine's names (decision/setting_names.h).
 DecisionSettings engine_settings(const WireLine &line);
 
 // One engine, with the indices that stand for its plays, servers, titles and customers.
--- a/src/wirehost/wire_codec.cpp
+++ b/src/wirehost/wire_codec.cpp
@@ -1,6 +1,6 @@
 // Parses lines of the form NAME<tab>field=value<tab>... and writes numbers.
 #include "wirehost/wire_codec.h"
-#include "given/translate.h"
+#include "settings/translation.h"
 
 #include <charconv>
 #include <cmath>
@@ -16,7 +16,7 @@
 } // namespace
 
 double read_number(std::string_view text, std::string_view field) {
-  auto value = given::parse_number(text);
+  auto value = settings::parse_number(text);
   if (!value) throw invalid_value(field, text);
   return *value;
 }
--- a/tests/http/test_http.cpp
+++ b/tests/http/test_http.cpp
@@ -1,7 +1,7 @@
 // Tests of the HTTP server, the HTTP client and the writers of messages.
 #include "http/client.h"
-#include "http/loop.h"
 #include "http/server.h"
+#include "http/socket_helpers.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/jsonlines/test_jsonlines.cpp
+++ b/tests/jsonlines/test_jsonlines.cpp
@@ -1,5 +1,5 @@
 // Tests of the viewers' line protocol: messages, line splitting and the server's limits.
-#include "http/loop.h"
+#include "http/socket_helpers.h"
 #include "jsonlines/server.h"
 
 #include <catch2/catch.hpp>
--- a/tests/management/test_manager.cpp
+++ b/tests/management/test_manager.cpp
@@ -1,4 +1,4 @@
-#include "management/rig.h"
+#include "management/manager_fixture.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/management/test_service.cpp
+++ b/tests/management/test_service.cpp
@@ -1,9 +1,9 @@
 #include "gnmi.grpc.pb.h"
 #include "management/certificates.h"
 #include "management/client.h"
-#include "management/rig.h"
+#include "management/gnmi_codec.h"
+#include "management/manager_fixture.h"
 #include "management/service.h"
-#include "management/wire.h"
 
 #include <catch2/catch.hpp>
 #include <grpcpp/grpcpp.h>
--- a/tests/management/test_follower.cpp
+++ b/tests/management/test_subscription_tracker.cpp
@@ -1,4 +1,4 @@
-#include "management/follower.h"
+#include "management/subscription_tracker.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -1,4 +1,4 @@
-#include "platform/scene.h"
+#include "platform/platform_fixture.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/rtsp/test_rtsp.cpp
+++ b/tests/rtsp/test_rtsp.cpp
@@ -1,7 +1,7 @@
 // Tests of the RTSP message reader, of how ends of set-ups and releases map to outcomes, and of Peer's
 // shutdown.
-#include "http/loop.h"
-#include "platform/ends.h"
+#include "http/socket_helpers.h"
+#include "platform/outcome_mapping.h"
 #include "rtsp/message.h"
 
 #include <catch2/catch.hpp>
--- a/tests/store/test_store.cpp
+++ b/tests/store/test_store.cpp
@@ -1,5 +1,5 @@
-#include "folder.h"
 #include "store/store.h"
+#include "temporary_folder.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/test_cold_fleet.cpp
+++ b/tests/test_cold_fleet.cpp
@@ -2,7 +2,7 @@
 // 300 engines share one list and one clock; the set-ups that arrive at the cold server from all of them are
 // counted in each window and compared with its budget at its start, plus the tolerance for random variation
 // at which an overload is counted.
-#include "helpers.h"
+#include "engine_fixture.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/test_front.cpp
+++ b/tests/test_decision_engine.cpp
@@ -1,6 +1,6 @@
 // The decision engine: the choice of server and rung, declines, retries, avoidance, slow start, steps of
 // running plays, and changes of settings.
-#include "helpers.h"
+#include "engine_fixture.h"
 
 #include <catch2/catch.hpp>
 
